--- a/src/main/java/driftchute/Control.java
+++ b/src/main/java/driftchute/Control.java
@@ -13,119 +13,165 @@
 import java.util.TreeMap;
 
 /**
- * Every decision of one courier; its interface is {@code Courier.java}. How it decides, from the top:
+ * All decisions of one courier; {@link Courier} is the interface. In short:
  * <ol>
- * <li>A message waits here until its destination lets it go; one attempt at a time, ended once and in time.
- * <li>Each destination (each route, where routes are apart) is a {@link Lane}: a window on calls in flight.
- * <li>Once a second the paper's Table I moves the window from latency and refusals ({@link #step}).
- * <li>Of the messages that may go, the one that loses most by waiting goes first ({@link #urgency}), to the
- * endpoint with least of ours in flight, recent trouble, handshakes and zones to cross ({@link #choose}).
- * <li>A told wait is heeded by the whole lane; a refusal without one makes the lane pause by itself.
- * <li>A lane that returns nothing but trouble is OUT: single trials, as many as a cold one bears; after the
- * first success it is on a RAMP, paced under the tipping rate until it is surely warm.
- * <li>What can be in time no more, or gains least when the store is full, is refused where that is harmless.
- * <li>The list is followed; nothing new goes to an endpoint that drains or is gone, or that operators bar.
- * <li>Where couriers share what they know ({@link #onFleet}), rations bound rates and verdicts the phase.
+ * <li>A message waits here until its destination may receive it. It has one attempt at a time and is ended exactly
+ * once, before its deadline.
+ * <li>Each destination (or each of its routes, where these are separate) is a {@link Route} with a window that bounds
+ * its calls in flight.
+ * <li>Once a second the paper's Table I moves the window according to latency and refusals ({@link #stepWindow}).
+ * <li>Of the sendable messages, the one that loses most value by waiting goes first ({@link #urgency}), to the endpoint
+ * with the least load, counting calls in flight, recent failures, handshakes and zone crossings ({@link
+ * #chooseEndpoint}).
+ * <li>A wait that an answer asks for holds for the whole route. After a refusal without a wait the route pauses by
+ * itself.
+ * <li>A route on which everything fails has an open circuit: it makes single probes, at a rate that a cold destination
+ * can take. After the first success it is in slow start, paced below the overload rate until the destination is surely
+ * warm.
+ * <li>A message that cannot be delivered in time, or that has the least to gain when the store is full, is refused if
+ * that is harmless.
+ * <li>The list of endpoints is followed. Endpoints that drain, are gone or were disabled by the operators get no new
+ * calls.
+ * <li>Where couriers share state ({@link #onFleetView}), rate leases bound the send rate and verdicts override the
+ * circuit state.
  * </ol>
  */
 public final class Control implements Courier {
 
     private static final long SECOND_US = 1_000_000;
 
-    // The window (DESIGN; the paper's section V).
-    /** Floor of a window, calls: a lane must always be able to learn. */
+    // The window (the paper's section V).
+    /** Lower bound of a window, calls. At least one call is needed to notice a recovery. */
     private static final double WINDOW_FLOOR = 1;
-    /** A new lane's window, calls: one slow answer may not block it; in a large fleet clumps come first. */
+    /**
+     * Initial window of a route, calls, so that one slow answer does not block it. In a large fleet each courier meets
+     * a destination rarely and messages come in bursts, so it starts wider.
+     */
     private static final double WINDOW_START = 2, WINDOW_RARE = 4;
-    /** Shares of the slots that one lane may hold, healthy and sick: the design's. */
+    /** Maximum share of the call slots that one route may use while healthy and while unhealthy. */
     private static final double HEALTHY_SHARE = 0.75, SICK_SHARE = 0.5;
-    /** A share, nearer High than Medium: an input above it makes a lane sick for a step. */
+    /** A latency or refusal input above this (nearer to High than to Medium) makes a route unhealthy for one step. */
     private static final double SLOW_INPUT = 0.75;
-    /** Samples at the average, mixed into a step's mean latency: two or three answers say little. */
+    /** Weight of the prior, in samples, in a step's mean latency: two or three answers say little. */
     private static final double LATENCY_PRIOR = 2;
-    /** Share of a window that must be used for it to grow: unused room has proved nothing. */
+    /** Share of the window that must have been used for it to grow. Unused capacity proves nothing. */
     private static final double USED_SHARE = 0.5;
 
     // Service times.
-    /** Least weight of a new sample, or of a step, in a slow average: about ten of memory. */
+    /** Minimum weight of a new sample or step in a slow average, a memory of about ten samples. */
     private static final double SAMPLE_WEIGHT = 0.1;
-    /** Service time of a class before any was seen, as a share of its aim: the aim was set to be met. */
+    /** Service time of a class before the first sample, as a share of its target time, which was set to be met. */
     private static final double UNSEEN_SHARE = 0.25;
-    /** Least pace of a lane, times the usual: no answer is so quick that the next must be quicker still. */
+    /**
+     * Minimum pace of a route, relative to the usual service time, so that a very fast answer does not make the next
+     * one look overdue.
+     */
     private static final double PACE_LEAST = 0.1;
-    /** A call is overdue after so many times what is expected (one in 150, by chance), and so long, us. */
+    /**
+     * A call is overdue after this many times its expected duration (one in 150 by chance), but not before the minimum,
+     * us.
+     */
     private static final double OVERDUE_TIMES = 5;
 
     private static final long OVERDUE_LEAST_US = SECOND_US;
-    /** A call begun before a stop has so many times what is expected left (chance cuts off one in seven). */
+    /** Multiple of the expected duration that a call must have left before shutdown. Chance cuts off one in seven. */
     private static final double STOP_TIMES = 2;
-    /** A time-out, in times what is expected, and at least so long, us: wide enough for a long tail. */
+    /** A time-out as a multiple of the expected duration, and its minimum, us. Wide enough for a long tail. */
     private static final double TIMEOUT_TIMES = 8;
 
     private static final long TIMEOUT_LEAST_US = 2 * SECOND_US;
-    /** After a time-out, the next ones are so many times as wide: it may have been slowness, not silence. */
+    /** Factor on time-outs after a time-out: the destination may be slow rather than silent. */
     private static final double STRETCH = 3;
 
     // Refusals and outages.
-    /** Least pause of a lane after a refusal, us: limits are counted over spans of about a second. */
+    /** Minimum pause of a route after a refusal, us. Limits are counted over spans of about a second. */
     private static final long PAUSE_US = SECOND_US / 2;
-    /** After refusals, sends go at so many times the rate served and so many a second more: room may come. */
+    /**
+     * After refusals the send rate is limited to the rate served times this factor, plus a margin per second, so that
+     * freed capacity is noticed.
+     */
     private static final double SPACING = 1.2, SPACING_LEAST = 0.5;
-    /** Part of a limit's unused share that one courier takes; of its even parts, at most: all take to it. */
+    /**
+     * Part of a limit's unused share that one courier takes, and the maximum in multiples of its even part, because all
+     * couriers take from the same unused share.
+     */
     private static final double LEFT_PART = 0.25, LEFT_EVEN = 4;
-    /** A told wait above this, us, is no limit's, whose spans are a second or two: it is shut. */
+    /**
+     * A requested wait above this, us, does not come from a rate limit, whose spans are a second or two. It means that
+     * the destination is closed.
+     */
     private static final long LIMIT_WAIT_US = 5 * SECOND_US / 2;
-    /** Weights in the run of bad outcomes, where a failure weighs 1: crowding refuses too, errors mix. */
+    /**
+     * Weights of a refusal and an error in the run of failures, where a failed call weighs 1. Overload also causes
+     * refusals, and errors may be mixed with successes.
+     */
     private static final double REFUSED_WEIGHT = 0.5, ERROR_WEIGHT = 0.4;
-    /** A run of this weight without success is an outage; so is this share of failures: most, and chance. */
+    /** A failure run of this weight without a success opens the circuit. */
     private static final double OUT_WEIGHT = 3;
-    /** A run of this weight, nothing served for a while before it, may be all that is seen of an outage. */
+    /**
+     * A failure run of this weight, with nothing served for a while before it, may be all that a courier sees of an
+     * outage.
+     */
     private static final double DOUBT_WEIGHT = 1;
 
     private static final double OUT_SHARE = 0.6;
-    /** Weight of a call in that share: about eight calls of memory. */
+    /** Weight of one call in the failure share, a memory of about eight calls. */
     private static final double FAIL_WEIGHT = 0.12;
-    /** Messages a second: a limit where none is told (a default); least rate at which a line is reckoned. */
+    /**
+     * Assumed limit where none is known, and the lowest service rate used to estimate queue times, messages per second.
+     */
     private static final double UNTOLD_LIMIT = 1;
 
     private static final double LEAST_RATE = 0.25;
-    /** What each further message in a call weighs on a cold destination, in calls. A default. */
+    /** Load of each further message in a call on a cold destination, in calls. */
     private static final double FURTHER_WEIGHT = 0.2;
-    /** An endpoint that failed is left alone so long, us; after that its failures in a row count as calls. */
+    /** Time for which a failed endpoint is avoided, us. After that its consecutive failures count as load. */
     private static final long AVOID_US = SECOND_US;
-    /** Share by which gaps are drawn longer or shorter, so that couriers do not keep step. */
+    /** Random share by which intervals are lengthened or shortened, so that couriers do not act in step. */
     private static final double JITTER = 0.2;
 
-    // Choice.
-    /** What a handshake and a crossing of zones weigh in the choice of an endpoint, in calls in flight. */
+    // Choice of message and endpoint.
+    /** Load of a handshake and of a zone crossing in the choice of an endpoint, in calls in flight. */
     private static final double HANDSHAKE_LOAD = 0.8, CROSS_LOAD = 0.6;
-    /** Chance that a message put off is served after all, in a short line; half of it in a long one. */
+    /** Chance that a deferred message is still served when the queue is short. It is half of this in a long queue. */
     private static final double KEPT = 0.9;
-    /** How far ahead a line is looked along, us: the next call at least, and what fades at most. */
+    /**
+     * Bounds of how far ahead queueing is considered, us: at least until the next call, at most until the value has
+     * faded.
+     */
     private static final long HORIZON_LEAST_US = SECOND_US, HORIZON_MOST_US = 10 * SECOND_US;
-    /** Share of worth beyond a quota, of which we see a part; messages in a burst that chance may bring. */
+    /**
+     * Value share of a message beyond its tenant's quota, of which this courier sees only a part, and the burst that is
+     * still within the quota by chance, messages.
+     */
     private static final double OVER_QUOTA = 0.25;
 
     private static final double QUOTA_BURST = 10;
-    /** Share of the store that is kept free by refusing what has least to gain: the door refuses blindly. */
+    /**
+     * Share of the store that is kept free by refusing the messages with least to gain. A full store refuses new
+     * messages regardless of their value.
+     */
     private static final double STORE_RESERVE = 0.05;
-    /** A message ends so long before its time, us: two rounds; share of a key's window not used: clocks. */
+    /**
+     * A message ends this long before its deadline, us (two passes of the event loop); and the share of a key's window
+     * that is left unused because clocks differ.
+     */
     private static final long END_MARGIN_US = 12_000;
 
     private static final double KEY_MARGIN = 0.05;
-    /** Growth a second of the idle time that connections are trusted to bear: a minute trebles it. */
+    /** Growth per second of the idle time that connections are trusted with. It triples in a minute. */
     private static final double TRUST_GROWTH = 1.02;
-    /** Idle for less, us, a connection dies of something else than its idleness. */
+    /** A connection that fails after a shorter idle time, us, did not fail because it was idle. */
     private static final long TRUST_LEAST_US = SECOND_US;
-    /** Couriers that each meet all destinations often, and may all keep idle connections. A default. */
+    /** Up to this fleet size every courier meets all destinations often and may keep its idle connections. */
     private static final int FEW_COURIERS = 6;
-    /** Calls' time within which a connection waits for its next use: a few for each call in flight. */
+    /** An idle connection is kept if its next use is expected within this many call durations. */
     private static final double REUSE_CALLS = 2;
-    /** First and longest back-off of asking for the list again, us: soon, but without burdening it. */
+    /** First and longest back-off between requests for the list, us. */
     private static final long ASK_LEAST_US = SECOND_US / 2, ASK_MOST_US = 3 * SECOND_US;
-    /** How soon a message that an endpoint or a key holds back is looked at again, us. */
+    /** Interval at which a message held back by an endpoint or a key is examined again, us. */
     private static final long POLL_US = 20_000;
-    /** A destination or route without an endpoint is forgotten so long after its last use, us. A default. */
+    /** A destination or route without an endpoint is forgotten this long after its last use, us. */
     private static final long FORGET_US = 60 * SECOND_US;
 
     private static final long NEVER = Long.MAX_VALUE;
@@ -134,7 +180,7 @@
     private final Actions actions;
     private final Random random;
     private final Map<Long, Destination> destinations = new LinkedHashMap<>();
-    /** Destinations with messages: all that a decision looks at, however long the list is. */
+    /** Destinations with messages. A decision looks at these only, however long the list is. */
     private final Map<Long, Destination> busy = new TreeMap<>();
 
     private final Map<Long, Node> nodes = new LinkedHashMap<>();
@@ -143,18 +189,20 @@
     private final double[] classMeanUs;
     private final int[] classSamples;
     private final long[] quotaUs;
-    /** Calls out here, calls that the process before still has out, and messages held. */
+    /** Calls in flight of this process, calls that the predecessor process still has in flight, and messages held. */
     private int callsOut, elsewhere, open;
 
     private double trustUs;
     private long nowUs, nextStepUs, wakeUs, stopUs = NEVER, freshUntilUs = NEVER;
     private boolean subscribed, unconfirmed;
-    /** What the couriers of the tier share; null where they share nothing. */
+    /** The shared state of the tier; null if couriers share nothing. */
     private FleetView fleet;
 
     private long askAgainUs = NEVER, askBackOffUs = ASK_LEAST_US;
 
-    /** A courier that knows nothing yet but its settings; {@code seed} is its only source of chance. */
+    /**
+     * Creates the decisions of a courier that knows only its settings. {@code seed} is the only source of randomness.
+     */
     public Control(final Settings settings, final long seed, final Actions actions) {
         this.settings = settings;
         this.actions = actions;
@@ -247,7 +295,7 @@
         }
     }
 
-    /** As long as nothing was served here, the process before knows better how a lane does. */
+    /** Takes over the predecessor's state. Its knowledge of a route is better as long as nothing was served here. */
     private void inherit(final Lane lane, final Memory memory) {
         lane.troubleFromUs = Math.min(lane.troubleFromUs, memory.troubleFromUs());
         if (lane.phase != memory.phase()) {
@@ -326,7 +374,10 @@
         }
     }
 
-    /** What was taken out has been restarted: it is cold, and so is a destination that has no other. */
+    /**
+     * The endpoint was probably restarted while it was disabled, so it is cold, and so is a destination that has no
+     * other endpoint.
+     */
     private void comeBack(final Node node) {
         node.backUs = nowUs;
         Arrays.fill(node.badRun, 0);
@@ -350,7 +401,10 @@
                         .ifPresent(destination -> destination.lanes.forEach(this::heed)));
     }
 
-    /** Takes up what the tier says: warned of an outage a lane makes trials, later evidence ends its own. */
+    /**
+     * Applies the tier's verdict: an outage that is reported by others leads to probes here, and newer evidence of a
+     * recovery ends an outage seen here.
+     */
     private void heed(final Lane lane) {
         final Verdict verdict = verdict(lane);
         final Standing before = lane.heard;
@@ -362,7 +416,7 @@
         }
     }
 
-    /** What the tier holds of a lane's destination, or null: nothing, or nothing recent. */
+    /** The tier's verdict on the route's destination, or null if there is none or it has expired. */
     private Verdict verdict(final Lane lane) {
         final Verdict verdict = fleet == null || lane.kind.routesApart()
                 ? null
@@ -375,7 +429,7 @@
         return verdict != null && verdict.standing() == standing;
     }
 
-    /** How a lane does, by its own calls and by what is heard: the graver of the two. */
+    /** The worse of the state seen by this courier's own calls and the tier's verdict. */
     private Phase phase(final Lane lane) {
         return isHeard(lane, Standing.OUT) ? Phase.OUT : lane.phase;
     }
@@ -426,7 +480,10 @@
 
     // ---------------------------------------------------------------- dispatch
 
-    /** Sends, best first, until no slot is free or no message may go; nothing on an unconfirmed list. */
+    /**
+     * Sends the most urgent messages first, until no slot is free or no message is sendable. Nothing is sent on an
+     * unconfirmed list.
+     */
     private void dispatch() {
         while (!unconfirmed && callsOut + elsewhere < settings.limits().slots()) {
             final Job best = best(true);
@@ -437,7 +494,10 @@
         }
     }
 
-    /** Of the messages that windows and guards let go (with trials or without), the most urgent, or null. */
+    /**
+     * The most urgent message that windows and pauses allow to be sent, or null. {@code probes}: include routes with an
+     * open circuit or in slow start.
+     */
     private Job best(final boolean trials) {
         Job best = null;
         for (final Destination destination : busy.values()) {
@@ -450,7 +510,7 @@
         return best;
     }
 
-    /** When a lane's waits and guards let a call go; never, while its window is full. */
+    /** When waits, pauses and rates allow the next call of a route; never while its window is full. */
     private long openAtUs(final Lane lane) {
         final long live = lane.elsewhere
                 + lane.calls.stream()
@@ -475,16 +535,19 @@
         return Math.max(Math.max(guardUs, rationedUs), Math.max(lane.waitUntilUs, lane.pauseUntilUs));
     }
 
-    /** When a lane that is out may be tried: by the tier's permit or, where it has no trier, by itself. */
+    /**
+     * When a route with an open circuit may be probed: by the tier's permit or, if nobody assigns permits, by its own
+     * schedule.
+     */
     private long trialAtUs(final Lane lane) {
         final long untilUs = isHeard(lane, Standing.OUT) ? verdict(lane).trialUntilUs() : NEVER;
         return untilUs == NEVER ? lane.nextTrialUs : untilUs > Math.max(nowUs, lane.permitUs) ? nowUs : NEVER;
     }
 
     /**
-     * Calls a second that a lane may make of the limit that its destination tells in its answers: this
-     * courier's even part or, where the others leave some, what it uses and a quarter of what is left.
-     * Failing a report, the whole of an exact weight.
+     * Calls per second that a route may make under its destination's limit. With a reported limit this is the courier's
+     * even part or, if others leave capacity unused, its present rate plus a quarter of the unused share. Without a
+     * report it is the whole of an exact weight.
      */
     private double partOfLimit(final Lane lane) {
         if (fleet != null && limit(lane) > 0) {
@@ -504,16 +567,16 @@
         return settings.weights() == Weights.NOMINAL && lane.told > 0 ? lane.told : Double.POSITIVE_INFINITY;
     }
 
-    /** The limit that is told of a lane, by answers or an exact weight, calls a second; 0: none. */
+    /** The known limit of a route, from answers or an exact weight, calls per second; 0 if none. */
     private double limit(final Lane lane) {
         return lane.reportedLimit > 0 || settings.weights() != Weights.NOMINAL ? lane.reportedLimit : lane.told;
     }
 
     /**
-     * Calls that a lane may have in flight now: its window, within its share of the slots. An overdue call
-     * that may not go again has no time-out but its message's time. It holds a slot and counts against the
-     * share; but its destination may long serve again, or only its connection be dead: a window that it
-     * filled would let nothing find that out.
+     * Calls that a route may have in flight: its window, within its share of the slots. An overdue call of an unsafe
+     * message has no time-out but the message's deadline. It holds a slot and counts against the share but not against
+     * the window: the destination may have recovered, or only the connection may be dead, and a window full of such
+     * calls would never find out.
      */
     private int cap(final Lane lane) {
         final double window =
@@ -526,7 +589,10 @@
         return (int) Math.max(1, Math.floor(share * settings.limits().slots()));
     }
 
-    /** The most urgent message for a lane (or a call of it); trials risk first what is lost anyway. */
+    /**
+     * The most urgent message for a route, or to be added to {@code call}. Probes use the messages first that lose
+     * least if they fail.
+     */
     private Job pick(final Destination destination, final Lane lane, final Call call) {
         Job best = null;
         int bestRisk = 0;
@@ -548,14 +614,15 @@
                 bestRisk = risk;
                 bestUrgency = urgency;
                 job.lane = lane;
-                // With the store over half full some will not be served: slots go where they serve most.
+                // If the store is over half full, some messages will not be served: slots go where they serve the most
+                // messages.
                 job.urgency = urgency / (2 * open > settings.limits().maxOpen() ? expectedUs(lane, job) : 1);
             }
         }
         return best;
     }
 
-    /** What a message loses by waiting for as long as its destination's line takes. */
+    /** The value that a message loses by waiting for as long as its destination's queue takes. */
     private double urgency(final Lane lane, final Job job, final long lineUs) {
         final long horizonUs = (long) clamp(lineUs, HORIZON_LEAST_US, HORIZON_MOST_US);
         final long doneUs = nowUs + (long) expectedUs(lane, job);
@@ -563,7 +630,7 @@
         return worth(job, doneUs) - kept * worth(job, doneUs + horizonUs);
     }
 
-    /** The worth of a message delivered at a given time; a key's window ends it like the deadline does. */
+    /** The value of a message delivered at a given time. The end of a key's window has the effect of a deadline. */
     private double worth(final Job job, final long atUs) {
         final MessageClass kind = job.kind;
         if (atUs >= job.keyEndUs()) {
@@ -577,7 +644,7 @@
                         : 1 - (1 - kind.lateWorth()) * lateUs / Math.max(1, kind.deadlineUs() - kind.aimUs()));
     }
 
-    /** The best endpoint of a lane for a message now, or null. */
+    /** The best endpoint of a route for a message now, or null. */
     private Node choose(final Lane lane, final Job job) {
         Node best = null;
         double bestLoad = 0;
@@ -595,7 +662,7 @@
             final boolean cross = !node.entry.zone().equals(settings.zone());
             final double taken =
                     node.inFlight + node.badRun[kind] + (handshake ? HANDSHAKE_LOAD : 0) + (cross ? CROSS_LOAD : 0);
-            // One that is back is cold: a call weighs there as much as its capacity is short.
+            // An endpoint that was enabled again is cold: a call weighs the more there, the less capacity it has.
             final double load = phase(lane) == Phase.OUT ? node.lastSendUs : (1 + taken) / warmth(nowUs - node.backUs);
             if (best == null || load < bestLoad) {
                 best = node;
@@ -605,7 +672,10 @@
         return best;
     }
 
-    /** A call ends with its first message's time: only chance may make one message end it for the others. */
+    /**
+     * A call ends at the earliest deadline of its messages, so a message joins only if it is unlikely to cut off the
+     * others.
+     */
     private boolean mayShare(final Job job, final Call call) {
         return zoneAllows(job, call.node)
                 && call.unsafe == (job.kind.effect() == Effect.UNSAFE)
@@ -613,27 +683,30 @@
                         >= nowUs + cutOffTimes(job) * Math.max(call.expectedUs, expectedUs(call.node.lane, job));
     }
 
-    /** What is expected, times this, is left of a call that something will cut off: chance may, so seldom. */
+    /** Multiple of the expected duration that must be left for a call that will be cut off at a known time. */
     private static double cutOffTimes(final Job job) {
         return job.kind.effect() == Effect.UNSAFE ? OVERDUE_TIMES : STOP_TIMES;
     }
 
-    /** False where an earlier attempt may have run and this endpoint would not know the repeat. */
+    /** False if an earlier attempt may have taken effect and this endpoint would not recognise the repeat. */
     private static boolean zoneAllows(final Job job, final Node node) {
         return !job.mayHaveRun || !job.kind.zoneKeyed() || node.entry.zone().equals(job.runZone);
     }
 
-    /** Rule on order: the first of its key goes, and only after the rest that an open attempt asks for. */
+    /**
+     * The ordering rule: the first message of a key goes first, and only after the rest that follows an attempt without
+     * an answer.
+     */
     private boolean inTurn(final Job job) {
         return job.line == null || job.line.jobs.get(0) == job && (job.mayHaveRun || job.line.restUntilUs <= nowUs);
     }
 
-    /** False for a call that the end of this process would likely cut off: the next one may send it. */
+    /** False for a call that the end of this process would probably cut off. The next process may send it. */
     private boolean endsInTime(final Lane lane, final Job job) {
         return stopUs == NEVER || nowUs + cutOffTimes(job) * expectedUs(lane, job) < stopUs;
     }
 
-    /** Sends a message and, where calls are shared, those that wait with it. */
+    /** Sends a message and, where calls are shared, the waiting messages that fit into the same call. */
     private void send(final Job first, final Lane lane) {
         final Node node = choose(lane, first);
         final Call call = new Call();
@@ -676,8 +749,9 @@
     }
 
     /**
-     * An idle connection may be dead without a sign, wherever it died: when a call over one fails where all
-     * was well, none idle half as long is used for a while (a quarter, for unsafe ones). Costs handshakes.
+     * Idle connections may be dead without any sign, anywhere on their path. When a call over one fails on a healthy
+     * route, no connection that was idle half as long (a quarter for unsafe messages) is used for a while. This costs
+     * handshakes.
      */
     private void checkIdle(final Call call, final Node node, final Job job) {
         final long idleUs = nowUs - node.lastUseUs;
@@ -690,8 +764,8 @@
     }
 
     /**
-     * An idle connection takes the place of another courier's: where they are many, it is closed unless its
-     * next use is near. Guards against refused connections at well endpoints; costs a handshake a call.
+     * In a large fleet an idle connection takes the place of another courier's, so it is closed unless its next use is
+     * near. This prevents refused connections at healthy endpoints and costs one handshake per call.
      */
     private void shareConnections(final Node node, final Call call) {
         final double usesInReach = node.lane.callRate * REUSE_CALLS * call.expectedUs / SECOND_US;
@@ -701,9 +775,9 @@
         }
     }
 
-    // ---------------------------------------------------------------- the fuzzy step
+    // ---------------------------------------------------------------- fuzzy window step
 
-    /** Moves a lane's window by Table I. */
+    /** Moves a route's window according to Table I. */
     private void step(final Lane lane) {
         final double bad = lane.bad + overdue(lane);
         final double read = lane.served + lane.errors + bad;
@@ -741,12 +815,15 @@
         lane.allowance = null;
     }
 
-    /** Table I, rows by latency, columns by refusals, each Low, Medium, High: places in the outputs. */
+    /** Change of the window for each output set of Table I. */
     private static final double[] OUTPUTS = {0.4, 0.2, 0, -0.2, -0.4, -0.6};
 
     private static final int[][] TABLE_ONE = {{0, 1, 3}, {1, 2, 4}, {3, 4, 5}};
 
-    /** The paper's Mamdani controller: triangles, min for AND, max for an output's rules, central average. */
+    /**
+     * The paper's Mamdani controller: triangular membership functions, minimum for AND, maximum over the rules of one
+     * output, and centre-average defuzzification. Both inputs are from 0 to 1.
+     */
     static double tableOne(final double latency, final double refusal) {
         final double[] union = new double[OUTPUTS.length];
         for (int row = 0; row < TABLE_ONE.length; row++) {
@@ -764,16 +841,16 @@
         return sum / weights;
     }
 
-    /** Triangles with their peaks at 0, 0.5 and 1: how Low, Medium or High an input is. */
+    /** Degree to which an input is Low (0), Medium (1) or High (2): triangles with peaks at 0, 0.5 and 1. */
     private static double member(final int set, final double input) {
         return Math.max(0, 1 - Math.abs(2 * input - set));
     }
 
-    // ---------------------------------------------------------------- health and return from outage
+    // ---------------------------------------------------------------- health and recovery
 
     /**
-     * Reads one outcome: service times, the step's inputs, waits, health of endpoint and lane. What is
-     * counted in calls gets a message's part of its call: five messages turned away together are one refusal.
+     * Records an outcome: service times, the inputs of the window step, waits, and the health of endpoint and route.
+     * Figures in calls count a message as its part of the call, so that five messages refused together are one refusal.
      */
     private void judge(final Node node, final Call call, final Job job, final Outcome outcome) {
         final Lane lane = node.lane;
@@ -786,7 +863,7 @@
         final double part = 1.0 / call.size;
         final boolean first = lane.troubleFromUs == NEVER;
         lane.troubleFromUs = Math.min(lane.troubleFromUs, nowUs);
-        // A wait may stand in any answer, also one that delivers some of a call's messages.
+        // Any answer may ask for a wait, also one that delivers some of the call's messages.
         lane.waitUntilUs = Math.max(lane.waitUntilUs, nowUs + outcome.waitUs());
         switch (outcome.result()) {
             case DELIVERED -> {
@@ -813,7 +890,8 @@
                 final boolean told = outcome.waitUs() > 0;
                 lane.pauseUntilUs = fromUs + (told ? (long) (random.nextDouble() * gapUs) : jitter(gapUs));
                 if (settings.couriers() > FEW_COURIERS) {
-                    // Turned away together, couriers of one pace would come again together, over and over.
+                    // Couriers with the same interval that were refused together would return together, again and
+                    // again.
                     lane.pauseUntilUs = Math.max(
                             lane.pauseUntilUs,
                             lane.lastSendUs + (long) (SECOND_US * (1 + random.nextDouble()) / partOfLimit(lane)));
@@ -828,7 +906,8 @@
             case TIMED_OUT, RESET, NO_CONNECTION, CANCELLED -> {
                 call.stale |= !node.barred && call.reused && outcome.result() == Result.RESET && node.badRun[kind] == 0;
                 if (node.barred || call.stale) {
-                    // Taken out to be restarted, or a kept connection was dead: no news of the lane.
+                    // The endpoint was disabled for a restart, or a kept connection was dead: this says nothing about
+                    // the route.
                     lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
                     node.connections = 0;
                     if (call.stale) {
@@ -864,8 +943,8 @@
     }
 
     /**
-     * True where a lane's trouble did not come right behind a success, with nothing served since. One of many
-     * couriers learns no more than that of an outage; together they push a cold destination over.
+     * True if a route's trouble did not follow directly after a success and nothing was served since. In a large fleet
+     * one courier sees no more than this of an outage, and all of them together can overload a cold destination.
      */
     private boolean isInDoubt(final Lane lane) {
         return settings.couriers() > FEW_COURIERS
@@ -873,7 +952,7 @@
                 && lane.troubleFromUs - lane.lastServedUs >= PAUSE_US;
     }
 
-    /** The lane's destination is back since then, and cold. */
+    /** The route's destination has recovered at {@code sinceUs}, and is cold. */
     private void ramp(final Lane lane, final long fromUs) {
         lane.phase = Phase.RAMP;
         lane.rampFromUs = fromUs;
@@ -882,11 +961,12 @@
         lane.troubleFromUs = NEVER;
     }
 
-    /** Adds to a lane's run of bad outcomes; a long run, or a high share of failures, is an outage. */
+    /** Adds to the route's run of failures. A long run or a high share of failures opens the circuit. */
     private void suspect(final Lane lane, final double weight) {
         lane.badRun += weight;
         lane.badUs = weight > 0 ? nowUs : lane.badUs;
-        // Calls in flight are turned away together: a run of refusals right behind a success is crowding.
+        // Calls in flight together are refused together: a run of refusals directly after a success is overload, not an
+        // outage.
         final boolean run = lane.badRun + silence(lane) >= OUT_WEIGHT && nowUs - lane.lastServedUs >= PAUSE_US;
         final boolean out = run || lane.failShare > OUT_SHARE;
         if (out && lane.phase != Phase.OUT) {
@@ -897,7 +977,7 @@
         }
     }
 
-    /** Attempts out far longer than expected with no success on their endpoint since: silence. */
+    /** Number of calls that are overdue without any success on their endpoint since they were sent. */
     private int overdue(final Lane lane) {
         int count = 0;
         for (final Call call : lane.calls) {
@@ -909,7 +989,10 @@
         return count;
     }
 
-    /** Of these, those that tell of the whole lane: nothing of it was served since half-way to overdue. */
+    /**
+     * Number of overdue calls that indicate an outage of the whole route: it has served nothing since half of the time
+     * to overdue had passed.
+     */
     private long silence(final Lane lane) {
         return overdue(lane) == 0
                 ? 0
@@ -920,8 +1003,9 @@
     }
 
     /**
-     * Silence may not eat the slots: while all are taken and a message could go elsewhere, the call longest
-     * overdue is called off. Covers hung, stalled and very slow ones; hurts where one would have answered.
+     * Keeps overdue calls from using up the slots. If all slots are taken and another route could use one, the call
+     * that is overdue longest is cancelled. This covers destinations that hang, stall or are very slow; it hurts where
+     * the call would still have been answered.
      */
     private void reclaimSlot() {
         if (callsOut < settings.limits().slots() || !settings.limits().mayCancel()) {
@@ -940,23 +1024,24 @@
     }
 
     /**
-     * A lane in trouble looks again after as long as its trouble has lasted, but no longer than its messages
-     * (or this courier's even part of the limit) are apart. So all couriers, however many, come no more often
-     * than messages do; it hurts a message whose wait outlasts the trouble.
+     * A route in trouble is tried again after as long as the trouble has lasted, but at least as often as its messages
+     * come (or as this courier's even part of the limit allows). All couriers together then never come more often than
+     * messages do. A message whose wait outlasts the trouble is delayed by this.
      */
     private long patienceUs(final Lane lane, final long atUs) {
         return (long) Math.min(Math.max(PAUSE_US, atUs - lane.troubleFromUs), apartUs(lane));
     }
 
-    /** How far apart this courier's calls to a lane are, or calls at its even part of the limit. */
+    /** Interval between this courier's calls on a route, or between calls at its even part of the limit, us. */
     private double apartUs(final Lane lane) {
         final double limit = lane.told > 0 ? lane.told : UNTOLD_LIMIT;
         return SECOND_US / Math.max(lane.callRate, limit / settings.couriers());
     }
 
     /**
-     * When a lane that is out is tried again: at any moment as likely as the share that tips a cold one, over
-     * the outage's age. So the trials of all couriers stay near that share of the messages, however many.
+     * The next probe of a route with an open circuit. Its rate is the share of capacity that overloads a cold
+     * destination, divided by the outage's age, so that the probes of all couriers together stay near that share of the
+     * messages, whatever the fleet's size.
      */
     private long trialUs(final Lane lane) {
         final long fromUs = Math.max(nowUs, lane.waitUntilUs);
@@ -967,12 +1052,12 @@
         return fromUs + (long) Math.min(gapUs, jitter((long) (apartUs(lane) / tippingShare(0))));
     }
 
-    /** What tips a destination so far on its way to being warm, as a share of its whole capacity. */
+    /** The rate that overloads a destination this long into its warm-up, as a share of its full capacity. */
     private double tippingShare(final long warmingUs) {
         return settings.guarantees().tipMultiple() * warmth(warmingUs);
     }
 
-    /** Share of its capacity that what was cold has by then, at least. */
+    /** Least share of its full capacity that a destination has this long into its warm-up. */
     private double warmth(final long warmingUs) {
         final double coldFrom = settings.guarantees().coldFrom();
         final double warm =
@@ -1001,9 +1086,9 @@
         return Math.max(least, Math.min(most, value));
     }
 
-    // ---------------------------------------------------------------- deadlines and further attempts
+    // ---------------------------------------------------------------- deadlines and retries
 
-    /** How long an attempt may take. */
+    /** Time-out of an attempt, us. */
     private long timeoutUs(final Lane lane, final Job job) {
         final double expectedUs = expectedUs(lane, job);
         final long leftUs = job.message.validUntilUs() - nowUs;
@@ -1018,7 +1103,9 @@
         return leftUs - timeoutUs < expectedUs ? leftUs : timeoutUs;
     }
 
-    /** Looks for silence and ramps that are over; ends what may not be sent again, or has no time left. */
+    /**
+     * Opens circuits on silence, ends slow starts, and ends messages that may not be sent again or have no time left.
+     */
     private void watch() {
         for (final Destination destination : List.copyOf(busy.values())) {
             for (final Lane lane : destination.lanes) {
@@ -1030,19 +1117,19 @@
             }
             for (final Job job : List.copyOf(destination.waiting)) {
                 if (nowUs >= endUs(job) || !maySend(job)) {
-                    // Given up: come again when the line that stands there now has gone, and no sooner.
+                    // The client should come back when the present queue is served, not sooner.
                     finish(job, Math.max(PAUSE_US, destination.lineUs()));
                 }
             }
         }
     }
 
-    /** When a message that waits is ended: its time or its key's window is up. */
+    /** When a waiting message is ended: at its deadline or at the end of its key's window. */
     private long endUs(final Job job) {
         return Math.min(job.message.validUntilUs() - END_MARGIN_US, job.keyEndUs());
     }
 
-    /** Rule on effects, and the most attempts. */
+    /** True if the message's effect and the maximum number of attempts allow another attempt. */
     private boolean maySend(final Job job) {
         final Effect effect = job.kind.effect();
         return job.attempts < settings.limits().mostAttempts()
@@ -1055,7 +1142,7 @@
                 || job.kind.effect() == Effect.KEYED && !job.kind.zoneKeyed();
     }
 
-    /** Gives the final answer: a refusal where that is harmless, or a failure. */
+    /** Gives the final answer: a refusal if that is harmless, else a failure. */
     private void finish(final Job job, final long retryAfterUs) {
         if (mayRefuse(job)) {
             actions.refuse(
@@ -1081,7 +1168,7 @@
         }
     }
 
-    /** Refuses what has least to gain, as a share of its class's worth, before the store is full. */
+    /** Refuses the messages with least to gain, relative to their class's value, before the store is full. */
     private void makeRoom() {
         final int reserve = (int) Math.max(1, STORE_RESERVE * settings.limits().maxOpen());
         while (open > settings.limits().maxOpen() - reserve) {
@@ -1099,7 +1186,7 @@
         }
     }
 
-    /** Meters a tenant at this courier's even part of its quota; true for a message beyond it. */
+    /** Meters a tenant against this courier's even part of its quota. True for a message beyond it. */
     private boolean overQuota(final int tenant) {
         final double whole = tenant < 0 ? 0 : settings.tenants().get(tenant).quotaPerSecond();
         final double quota = whole / settings.couriers();
@@ -1110,7 +1197,10 @@
         return false;
     }
 
-    /** Asks to be woken when something can change by time alone: a guard, a deadline, a silence, a step. */
+    /**
+     * Requests a wake-up for the next change that time alone brings: a pause, a deadline, an overdue call or a window
+     * step.
+     */
     private void sleep() {
         long next = Math.min(nextStepUs, askAgainUs);
         for (final Destination destination : busy.values()) {
@@ -1132,7 +1222,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- membership
+    // ---------------------------------------------------------------- list of endpoints
 
     @Override
     public void onList(final long now, final Update update, final List<Endpoint> entries) {
@@ -1154,14 +1244,14 @@
             if (node == null) {
                 node = new Node(entry, lane(entry), classMeanUs.length);
                 node.lane.nodes.add(node);
-                // A new endpoint has no part in an outage of those before it: it may be tried at once.
+                // A new endpoint has no part in the outage of earlier ones, so it may be tried at once.
                 node.lane.nextTrialUs = Math.min(node.lane.nextTrialUs, nowUs);
                 nodes.put(entry.id(), node);
             }
             node.condition = entry.condition();
             node.lane.told = settings.weights() == Weights.NONE ? node.lane.told : entry.weight();
         }
-        // A route apart is not forgotten soon: listed again, it still has its wait and its outage.
+        // A separate route is not forgotten at once: if it is listed again, its wait and outage still hold.
         nodes.values()
                 .removeIf(node -> node.condition == Condition.GONE
                         && node.inFlight == 0
@@ -1169,7 +1259,7 @@
                         && node.lane.nodes.remove(node));
     }
 
-    /** Endpoints and destinations come and go for good: what has long been of no use is not kept. */
+    /** Forgets endpoints and destinations that are no longer listed and have long been unused. */
     private void forget() {
         final long beforeUs = nowUs - FORGET_US;
         nodes.values()
@@ -1199,21 +1289,21 @@
 
     @Override
     public String describe(final long now) {
-        final StringBuilder text = new StringBuilder("open " + open + ", calls out " + callsOut + " of "
+        final StringBuilder text = new StringBuilder("open " + open + ", calls in flight " + callsOut + " of "
                 + settings.limits().slots());
         busy.forEach((id, destination) -> {
             text.append("; ")
                     .append(id)
                     .append(": ")
                     .append(destination.waiting.size())
-                    .append(" wait");
+                    .append(" waiting");
             for (final Lane lane : destination.lanes) {
                 text.append(String.format(
                         Locale.ROOT,
-                        ", %s by %d, %s %d/%.1f, rate %.1f, told %.1f, spacing %.1f, held %d ms",
+                        ", %s, %d per call, %s, %d in flight, window %.1f, rate %.1f/s, limit %.1f/s, send rate %.1f/s, paused %d ms",
                         lane.kind.name(),
                         lane.kind.messagesPerCall(),
-                        lane.phase,
+                        lane.phase.logName(),
                         lane.calls.size(),
                         lane.window,
                         lane.rate,
@@ -1225,7 +1315,7 @@
         return text.toString();
     }
 
-    /** How many destinations are kept in mind. */
+    /** Number of destinations that are kept in memory. */
     int destinationsKnown() {
         return destinations.size();
     }
@@ -1234,7 +1324,7 @@
         return destinations.computeIfAbsent(id, unused -> new Destination());
     }
 
-    /** Where the list must be asked for: once at the start, and again after a loss. */
+    /** Requests the list where the settings ask for it: once at the start, and again after a loss. */
     private void keepList() {
         if (settings.listOnRequest() && (askAgainUs == NEVER ? !subscribed : nowUs >= askAgainUs)) {
             subscribed = true;
@@ -1245,14 +1335,14 @@
 
     // ---------------------------------------------------------------- state
 
-    /** A destination: what waits for it, and its lanes (one, unless its routes are apart). */
+    /** A destination: its waiting messages and its routes (one, unless they are separate). */
     private static final class Destination {
         private final List<Job> waiting = new ArrayList<>();
         private final List<Lane> lanes = new ArrayList<>();
-        /** Its messages, waiting or out. */
+        /** Messages that are waiting or in flight. */
         private int jobs;
 
-        /** How long its line takes at the rate that it was served, us. */
+        /** Time to serve the waiting messages at the recent rate, us. */
         private long lineUs() {
             final double rate = Math.max(
                     LEAST_RATE, lanes.stream().mapToDouble(lane -> lane.rate).sum());
@@ -1260,41 +1350,41 @@
         }
     }
 
-    /** The unit of the window: a destination, or a route of it. */
+    /** The unit of the window: a destination, or one of its separate routes. */
     private static final class Lane {
         private final long id;
         private final Kind kind;
         private final List<Node> nodes = new ArrayList<>();
         private final List<Call> calls = new ArrayList<>();
         private double window;
-        /** Calls that the process before this one still has out there. */
+        /** Calls that the predecessor process still has in flight there. */
         private int elsewhere;
-        /** This step's counts and sum of latency ratios. */
+        /** Counts of this step in messages, and the sum of latency ratios. */
         private int peak, refused, delivered;
-        /** Of these, in calls. */
+        /** Counts of this step in calls. */
         private double served, bad, errors;
 
         private double ratioSum;
         private Allowance allowance;
-        /** Slow averages: steps seen, messages and calls served a second, step means, pace by other lanes. */
+        /** Slow averages: rates of messages and calls served, latency ratio, and pace relative to other routes. */
         private int steps, paceSamples;
 
         private double rate, callRate, slowRatio = 1, pace = 1, stretch = 1;
-        /** What the last call weighs on a cold destination. */
+        /** Load of the last call on a cold destination, in calls. */
         private double lastWeight = 1;
-        /** The limit told (0: none), and the sends allowed now, a second. */
+        /** The known limit (0: none) and the present maximum send rate, per second. */
         private double told, spacing = Double.POSITIVE_INFINITY;
-        /** What the last report told: the limit (0: none), and the share of it that was left. */
+        /** The last report: the limit (0: none) and its unused share. */
         private double reportedLimit, shareLeft;
 
         private boolean slow;
         private Phase phase = Phase.WELL;
         private double badRun, failShare, rampSpanUs;
-        /** Since when nothing was served there; never, while all is well. */
+        /** Since when nothing was served; {@code NEVER} while there is no trouble. */
         private long troubleFromUs = NEVER;
 
         private long waitUntilUs, pauseUntilUs, nextTrialUs, rampFromUs, lastSendUs, lastServedUs;
-        /** The tier's word; the last failed call; the last permit used. */
+        /** The last verdict of the tier, the last failed call, and the last probe permit used. */
         private Standing heard = Standing.WELL;
 
         private long badUs, permitUs;
@@ -1306,22 +1396,22 @@
         }
     }
 
-    /** An endpoint. */
+    /** An endpoint and what was learnt about it. */
     private static final class Node {
         private final Endpoint entry;
         private final Lane lane;
         private Condition condition;
         private int inFlight, connections;
-        /** Failures in a row of each class, and until when that class goes elsewhere. */
+        /** Consecutive failures of each class, and until when that class avoids this endpoint. */
         private final double[] badRun;
 
         private final long[] avoidUntilUs;
         private long lastUseUs, lastSendUs, lastServedUs;
-        /** The operators have taken it out; when they last let it in again. */
+        /** Disabled by the operators, and when it was last enabled again. */
         private boolean barred;
 
         private long backUs;
-        /** Until when its kept connections are not trusted with what may not go again. */
+        /** Until when its kept connections are not used for unsafe messages. */
         private long staleUntilUs;
 
         private Node(final Endpoint entry, final Lane lane, final int classes) {
@@ -1339,17 +1429,17 @@
     /** A call in flight, with one or more messages. */
     private static final class Call {
         private Node node;
-        /** Messages sent with it, and those without an outcome yet. */
+        /** Number of messages sent with it, and of those without an outcome. */
         private int size, messages;
 
         private long sentUs, expectedUs, idleUs;
-        /** When the first of its messages is out of time. */
+        /** The earliest deadline of its messages. */
         private long validUntilUs = NEVER;
-        /** It went over a connection that was kept, as far as is known here; and that alone made it fail. */
+        /** As far as is known, it used a kept connection; and it failed only because that connection was dead. */
         private boolean reused, stale;
 
         private boolean calledOff;
-        /** It carries what may not be sent twice. */
+        /** It carries unsafe messages. */
         private boolean unsafe;
 
         private long overdueUs() {
@@ -1357,7 +1447,7 @@
         }
     }
 
-    /** A message that is owed an answer, or still has an attempt out. */
+    /** A message that has no final answer yet, or still has an attempt in flight. */
     private static final class Job {
         private final Message message;
         private final MessageClass kind;
@@ -1365,7 +1455,7 @@
         private Destination destination;
         private KeyLine line;
         private Call call;
-        /** Where it may go, and how urgently, when last looked at. */
+        /** The route and urgency found when the message was last considered. */
         private Lane lane;
 
         private double urgency;
@@ -1380,7 +1470,7 @@
             this.aimUs = message.validUntilUs() - kind.deadlineUs() + kind.aimUs();
         }
 
-        /** Until when it may be sent: a key that may be in use ends a message like its own deadline does. */
+        /** Until when the message may be sent. A key that may already be in use limits this like a deadline. */
         private long keyEndUs() {
             final long windowUs = (long) ((1 - KEY_MARGIN) * kind.keyWindowUs());
             return !mayHaveRun || kind.effect() != Effect.KEYED
@@ -1389,7 +1479,7 @@
         }
     }
 
-    /** The messages of one key, in the order taken. */
+    /** The messages of one key, in the order of acceptance. */
     private static final class KeyLine {
         private final List<Job> jobs = new ArrayList<>();
         private long restUntilUs;
--- a/src/main/java/driftchute/Courier.java
+++ b/src/main/java/driftchute/Courier.java
@@ -5,26 +5,29 @@
 import java.util.Set;
 
 /**
- * What a courier's decisions are told and what they may ask for. A host (a courier process, or the bench's
- * adapter) calls the inbound events in the order in which they happened, then {@link #decide} once, and
- * carries out the {@link Actions} it was given meanwhile. All times are microseconds on one clock that only advances.
+ * The interface of a courier's decision logic: the events it receives and the actions it may request. A host (a courier
+ * process, or the simulator's adapter) reports events in the order in which they happened, then calls {@link #decide}
+ * once and carries out the {@link Actions} requested meanwhile. All times are microseconds on one monotonic clock.
  */
 public interface Courier {
 
-    /** What a repeat of a message does: nothing new, nothing new while the key is remembered, or harm. */
+    /**
+     * What sending a message a second time does: nothing ({@code SAFE}), nothing while the destination remembers the
+     * message's idempotency key ({@code KEYED}), or harm ({@code UNSAFE}).
+     */
     enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** How worth falls between the aim and the deadline. */
+    /** How a message's value falls between its target time and its deadline. */
     enum Fade {
         LINEAR,
         HALVING
     }
 
-    /** What an endpoint's weight tells of its destination's limit. */
+    /** What an endpoint's weight in the list says about its destination's rate limit. */
     enum Weights {
         NONE,
         NOMINAL,
@@ -47,20 +50,23 @@
             return this == REFUSED || this == NO_CONNECTION || this == NOT_SENT;
         }
 
-        /** True if the destination answered, so that the attempt no longer runs. */
+        /** True if the destination answered, so that the attempt is no longer running. */
         public boolean ended() {
             return this == DELIVERED || this == ERROR;
         }
     }
 
-    /** An endpoint's state in the list; the list knows nothing of health. */
+    /** An endpoint's state in the list. The list says nothing about health. */
     enum Condition {
         LISTED,
         DRAINING,
         GONE
     }
 
-    /** What an update of the list holds: changed entries, all, the last list known, or no news at all. */
+    /**
+     * What a list update contains: changed entries, the whole list, the last list that was stored, or nothing because
+     * the list service could not be reached.
+     */
     enum Update {
         CHANGES,
         WHOLE,
@@ -68,7 +74,10 @@
         LOST
     }
 
-    /** A class of message. {@code zoneKeyed}: only endpoints of one zone drop each other's repeats. */
+    /**
+     * A message class. {@code zoneKeyed}: only endpoints of the same zone recognise each other's idempotency keys.
+     * {@code ordered}: messages with one key are delivered in the order accepted.
+     */
     record MessageClass(
             String name,
             Effect effect,
@@ -80,16 +89,22 @@
             long deadlineUs,
             long keyWindowUs) {}
 
-    /** A tenant and the messages a second, over all couriers, that are worth their full worth. */
+    /**
+     * A tenant and its quota over all couriers, messages per second. Messages within the quota keep their full value.
+     */
     record Tenant(String name, double quotaPerSecond) {}
 
-    /** A kind of destination. */
+    /** A kind of destination. {@code separateRoutes}: every endpoint has its own limits, waits and outages. */
     record Kind(String name, boolean routesApart, int messagesPerCall) {}
 
-    /** The figures of the rules. */
+    /**
+     * The figures of the protocol's rules: how soon the list must be requested, the capacity share of a cold
+     * destination and its warm-up time, the multiple of its capacity that overloads a destination, and how long a key
+     * rests after an attempt without an answer.
+     */
     record Guarantees(long mustAskUs, double coldFrom, long coldUs, double tipMultiple, long orderSettleUs) {}
 
-    /** What this courier may use. */
+    /** The resources this courier may use. */
     record Limits(
             int slots,
             int maxOpen,
@@ -99,7 +114,7 @@
             int multiplex,
             long maxRetryAfterUs) {}
 
-    /** Everything a courier is handed at its start. */
+    /** All settings that a courier gets at start. */
     record Settings(
             int couriers,
             String zone,
@@ -111,15 +126,19 @@
             List<Kind> kinds,
             Guarantees guarantees,
             Limits limits) {
-        /** Refuses settings that contradict themselves, so that a host learns of it at its start. */
+        /**
+         * Checks the settings for contradictions.
+         *
+         * @throws IllegalArgumentException naming the setting that is wrong
+         */
         public Settings {
             require(couriers >= 1, "a fleet has at least one courier, not " + couriers);
             require(limits.slots() >= 1, "a courier needs at least one slot, not " + limits.slots());
             require(limits.maxOpen() >= 1, "a store holds at least one message, not " + limits.maxOpen());
             require(limits.mostAttempts() >= 1, "a message needs at least one attempt, not " + limits.mostAttempts());
-            require(guarantees.tipMultiple() > 0, "a tipping multiple is above 0, not " + guarantees.tipMultiple());
+            require(guarantees.tipMultiple() > 0, "the overload multiple must be above 0, not " + guarantees.tipMultiple());
             for (final MessageClass kind : classes) {
-                require(kind.aimUs() <= kind.deadlineUs(), kind.name() + ": its aim is later than its deadline");
+                require(kind.aimUs() <= kind.deadlineUs(), kind.name() + ": its target time is later than its deadline");
             }
         }
 
@@ -130,24 +149,28 @@
         }
     }
 
-    /** An endpoint as the list names it; {@code kind} is an index into the settings, or -1. */
+    /** An endpoint as listed. {@code kind} is an index into the settings, or -1. */
     record Endpoint(long id, Condition condition, String zone, double weight, int kind, long destination) {}
 
-    /** A message taken; {@code messageClass} and {@code tenant} index the settings, tenant -1 if none. */
+    /**
+     * An accepted message. {@code messageClass} and {@code tenant} are indexes into the settings; {@code tenant} is -1
+     * if there is none.
+     */
     record Message(String id, int messageClass, int tenant, String key, long validUntilUs, long destination) {}
 
     /**
-     * What became of a message before this process held it. {@code mayHaveRun}: an attempt may have had its effect,
-     * the first one at {@code firstRunUs} (on the clock of the events, perhaps before its start), in {@code runZone}.
+     * What earlier processes did with a message. {@code mayHaveExecuted}: an attempt may have taken effect, the first
+     * one at {@code firstExecutionUs} (on the clock of the events, possibly before it started) in {@code
+     * executionZone}.
      */
     record Past(int attempts, boolean mayHaveRun, long firstRunUs, String runZone) {}
 
-    /** What a destination told of its limit: the share left, and calls a second (0: no limit). */
+    /** The rate limit that a destination reported: the unused share, and calls per second (0: no limit). */
     record Allowance(double shareLeft, double callsPerSecond) {}
 
     /**
-     * The outcome of an attempt. {@code over}: the message has its final answer. {@code waitUs}: the wait told
-     * with the answer, or 0. {@code allowance}: null if nothing was told.
+     * The outcome of an attempt. {@code isFinal}: the message has its final answer. {@code waitUs}: the wait that the
+     * answer asked for, or 0. {@code reportedLimit}: null if the answer had none.
      */
     record Outcome(
             String messageId,
@@ -158,16 +181,30 @@
             long waitUs,
             Allowance allowance) {}
 
-    /** How a destination does: well, out of service but for single trials, or on its way back from that. */
+    /**
+     * State of a route's circuit breaker: closed (normal traffic), open (single probes only), or slow start after an
+     * outage.
+     */
     enum Phase {
-        WELL,
-        OUT,
-        RAMP
+        WELL("WELL"),
+        OUT("OUT"),
+        RAMP("RAMP");
+
+        private final String logName;
+
+        Phase(final String logName) {
+            this.logName = logName;
+        }
+
+        /** The state's name in the log. */
+        public String logName() {
+            return logName;
+        }
     }
 
     /**
-     * What a process has learnt of a destination, for the one that goes on in its place; {@code callsOut}: calls that
-     * it still has out there. A time that never came is {@code Long.MAX_VALUE}.
+     * What a process has learnt about a destination, for its successor. {@code callsInFlight}: calls of that process
+     * that are still in flight there. A time that does not apply is {@code Long.MAX_VALUE}.
      */
     record Memory(
             long destination,
@@ -186,7 +223,7 @@
             double spacing,
             double pace) {
 
-        /** The same with another count of calls out. */
+        /** A copy with another number of calls in flight. */
         public Memory withCallsOut(final int calls) {
             return new Memory(
                     destination,
@@ -206,7 +243,7 @@
                     pace);
         }
 
-        /** The same on a clock that is so much ahead. */
+        /** A copy converted to a clock that is {@code aheadUs} ahead. */
         public Memory onClock(final long aheadUs) {
             return new Memory(
                     destination,
@@ -228,37 +265,49 @@
     }
 
     /**
-     * This courier's part of a destination's limit: so many calls a second until that moment; from then on its even part
-     * of the reserve.
+     * This courier's share of a destination's rate limit until {@code expiresAtUs}. After that the courier has its even
+     * part of the reserve.
      */
     record Ration(double callsPerSecond, long untilUs) {}
 
-    /** What the couriers of the tier together hold of a destination. */
+    /** What the couriers of the tier have agreed about a destination's health. */
     enum Standing {
-        WELL,
-        SUSPECTED,
-        OUT,
-        BACK
+        WELL("WELL"),
+        SUSPECTED("SUSPECTED"),
+        OUT("OUT"),
+        BACK("BACK");
+
+        private final String logName;
+
+        Standing(final String logName) {
+            this.logName = logName;
+        }
+
+        /** The verdict's name in the log. */
+        public String logName() {
+            return logName;
+        }
     }
 
     /**
-     * A destination's standing: since when, and until when it is told to be shut (0: not told). It counts for nothing
-     * from {@code staleAtUs} on. {@code trialUntilUs}: until then one trial call is this courier's to make while it is out;
-     * {@code Long.MAX_VALUE}: nobody deals out trials, so that each courier makes its own.
+     * The tier's verdict on a destination and when it began. {@code closedUntilUs}: until when the destination
+     * announced to be closed (0: not announced). The verdict expires at {@code expiresAtUs}. {@code probeUntilUs}:
+     * until then this courier may make one probe call while the destination is down; {@code Long.MAX_VALUE} means that
+     * nobody assigns probes, so each courier makes its own.
      */
     record Verdict(Standing standing, long sinceUs, long shutUntilUs, long staleAtUs, long trialUntilUs) {}
 
     /**
-     * What the couriers of the tier share, as this one knows it. {@code reserve}: the share of each limit that is never
-     * leased but split evenly over all couriers. Times are on the clock of the events.
+     * The shared state of the tier as this courier knows it. {@code reservedShare}: the share of every limit that is
+     * never leased but divided evenly among all couriers. Times are on the clock of the events.
      */
     record FleetView(double reserve, Map<Long, Ration> rations, Map<Long, Verdict> verdicts) {}
 
     /**
-     * What this courier knows and wants of a destination, for the others: the limit it was told, calls a second (0:
-     * none), the calls a second that it makes and the calls that its waiting messages make; its phase by its own calls
-     * alone, how many of these failed since its trouble began and when that was ({@code Long.MAX_VALUE}: none), when one
-     * was last delivered (0: never), and until when it told to be shut.
+     * What this courier knows and needs of a destination, for its peers: the reported limit in calls per second (0:
+     * none), the calls per second that it makes, the calls its waiting messages need, its own circuit state, the number
+     * of failed calls since the trouble began and when that was ({@code Long.MAX_VALUE}: no trouble), the time of the
+     * last delivery (0: never), and until when the destination announced to be closed.
      */
     record Report(
             long destination,
@@ -271,15 +320,15 @@
             long servedUs,
             long shutUntilUs) {}
 
-    /** What a courier may ask of its host. */
+    /** The actions that the decisions may request from the host. */
     interface Actions {
-        /** Calls an endpoint with a message. */
+        /** Sends a message to an endpoint. */
         void send(String messageId, long endpoint, long timeoutUs);
 
-        /** Ends a message undelivered; its client may safely hand it in again. */
+        /** Ends a message undelivered. Its client may safely submit it again. */
         void refuse(String messageId, long retryAfterUs);
 
-        /** Ends a message as failed; nothing is promised. */
+        /** Ends a message as failed. Whether it took effect is unknown. */
         void fail(String messageId);
 
         /** Stops waiting for an attempt. */
@@ -288,64 +337,72 @@
         /** Closes this courier's idle connections to an endpoint, before the actions that follow. */
         void closeIdle(long endpoint);
 
-        /** Asks for changes of the list from now on. */
+        /** Subscribes to changes of the list. */
         void follow();
 
-        /** Asks for {@link Courier#decide} to be called again after a delay, if nothing calls it earlier. */
+        /** Requests a call of {@link Courier#decide} after a delay, unless it is called earlier anyway. */
         void wake(long delayUs);
     }
 
-    /** The list changed, or could not be had. */
+    /** The list changed, or could not be fetched. */
     void onList(long nowUs, Update update, List<Endpoint> entries);
 
-    /** A message was taken. */
+    /** A message was accepted. */
     void onMessage(long nowUs, Message message);
 
-    /** A message that an earlier process of this courier took is held again; in the order taken. */
+    /**
+     * A message that an earlier process of this courier accepted is held again. Reported in the order of acceptance.
+     */
     void onResumed(long nowUs, Message message, Past past);
 
-    /** This process ends at {@code stopUs}: what it still holds then goes on in the next one. */
+    /** This process ends at {@code stopUs}. Its successor goes on with what is still held then. */
     void onStopping(long nowUs, long stopUs);
 
-    /** What has been learnt of each destination (where its routes are not apart). */
+    /** Exports what has been learnt about each destination whose routes are not separate. */
     List<Memory> memories();
 
     /**
-     * What the process before this one has learnt of a destination. It is told again while that process still has
-     * calls out there: the two count as one courier.
+     * Imports what the predecessor process has learnt about a destination. Reported again while the predecessor still
+     * has calls in flight there: the two processes count as one courier.
      */
     void onMemory(long nowUs, Memory memory);
 
     /**
-     * What the process before this one is told is known here up to a moment that is recent enough until
-     * {@code freshUntilUs}. Later, nothing new goes where it still has calls out: each of them may tell a wait.
+     * The predecessor's state is known recently enough until {@code freshUntilUs}. After that no new call goes to a
+     * destination where the predecessor has calls in flight, because each of their answers may ask for a wait.
      */
     void onHeard(long nowUs, long freshUntilUs);
 
-    /** The process before this one has no calls out any more. */
+    /** The predecessor process has no calls in flight any more. */
     void onAlone(long nowUs);
 
     /** An attempt ended. */
     void onOutcome(long nowUs, Outcome outcome);
 
-    /** All endpoints that the operators have taken out: nothing new goes there. One that is no longer named is back. */
+    /**
+     * The complete set of endpoints that the operators have disabled. They get no new calls. An endpoint that is no
+     * longer in the set is enabled again.
+     */
     void onBarred(long nowUs, Set<Long> endpoints);
 
     /**
-     * What the couriers of the tier share is now this. Never called where they share nothing. It can lower what this
-     * courier sends, or end a verdict; nothing in it makes it bolder than the limit that it was told itself.
+     * The shared state of the tier changed. Never called if the couriers share nothing. It can lower the send rate or
+     * end a verdict, but never raises the rate above the limit that this courier was told itself.
      */
     void onFleet(long nowUs, FleetView view);
 
-    /** What this courier knows and wants of each destination that it uses or that is not well, routes apart excepted. */
+    /**
+     * Reports what this courier knows and needs of each destination that it uses or that is not healthy, except where
+     * routes are separate.
+     */
     List<Report> reports(long nowUs);
 
-    /** Nobody wants this message any more; it is owed no answer. */
+    /** A message was withdrawn. It needs no answer. */
     void onExpired(long nowUs, String messageId);
 
-    /** All that happened by now has been told, or a wake-up fell due: act on it. */
+    /** Acts on all events reported so far, or on a wake-up that fell due. */
     void decide(long nowUs);
 
-    /** How things stand, on one line: what waits for each destination, and what holds it back. For the log. */
+    /** A one-line summary for the log: what waits for each destination, and what holds it back. */
     String describe(long nowUs);
 }
--- a/src/test/java/driftchute/ColdFleet.java
+++ b/src/test/java/driftchute/ColdFleet.java
@@ -11,8 +11,9 @@
 import java.util.TreeMap;
 
 /**
- * Twenty or thirty couriers that cannot hear each other, and one server that goes out and comes back cold: what all of
- * them together send it in any span of {@code guarantees.fall}, against what it bears (STANDING, cold destinations).
+ * A model of twenty to thirty couriers that share nothing, and one server that fails and recovers cold. Compares the
+ * calls that all of them together send in any span of {@code guarantees.fall} with what the server can take (STANDING,
+ * cold destinations).
  */
 final class ColdFleet {
     static final long MS = 1000;
@@ -26,7 +27,7 @@
     private static final long RETURN_US = 50 * SECOND;
     private static final long OUT_US = RETURN_US - 10 * SECOND;
 
-    /** How the server is out. */
+    /** How the server fails. */
     enum Outage {
         DOWN,
         VANISHED,
@@ -35,7 +36,7 @@
         FAILING
     }
 
-    /** What the couriers are told of its limit: nothing, a figure in the list, one in each answer. */
+    /** How the couriers know its limit: not at all, by a figure in the list, or by one in each answer. */
     enum Limit {
         UNTOLD,
         LISTED,
@@ -43,9 +44,9 @@
     }
 
     /**
-     * A run. {@code capacity}: calls a second that the warm server does; {@code arrivals}: messages a second over all
-     * couriers; {@code hot}: couriers that see five times what the others do; {@code restarts}: so many are restarted
-     * in the middle of the outage and of the return.
+     * A run. {@code capacity}: calls per second of the warm server. {@code arrivals}: messages per second over all
+     * couriers. {@code hot}: number of couriers with five times the others' traffic. {@code restarts}: number of
+     * couriers restarted during the outage and the recovery.
      */
     record Plan(
             int couriers,
@@ -59,7 +60,7 @@
             int perCall,
             long seed) {}
 
-    /** The worst span: calls in it, those from couriers that had seen the outage, and what the server bears. */
+    /** The worst span: its calls, those from couriers that had seen the outage, and what the server can take. */
     record Worst(int calls, int told, double bound, double atS) {
         boolean isBroken() {
             return calls > bound && 3 * told > 2 * calls;
@@ -97,7 +98,7 @@
                 : atUs < RETURN_US ? 0 : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (atUs - RETURN_US) / COLD_US);
     }
 
-    /** Plays the day to the end of the cold time; its worst span. */
+    /** Runs until the server is warm and returns the worst span. */
     Worst play() {
         final double whole =
                 members.stream().mapToDouble(member -> weight(member.index)).sum();
@@ -135,7 +136,7 @@
             final List<Arrived> span = calls.subList(0, last + 1).stream()
                     .filter(call -> call.atUs() > fromUs)
                     .toList();
-            // What it can do grows evenly: over the span, what it does half-way.
+            // The capacity grows linearly, so over the span it is the capacity half-way.
             final double least = TIP * plan.capacity() * warmth((fromUs + toUs) / 2) * FALL_US / SECOND;
             final Worst one = new Worst(
                     span.size(),
@@ -147,7 +148,7 @@
         return worst;
     }
 
-    /** A call reaches the server: its outcome, and when; null for none while the courier waits. */
+    /** A call reaches the server. Returns its outcome and time; null if there is none while the courier waits. */
     private Reply serve(final Member member, final long atUs) {
         if (atUs >= RETURN_US) {
             calls.add(new Arrived(atUs, member.told));
@@ -175,7 +176,7 @@
 
     private record Due(long atUs, String call, Reply reply) {}
 
-    /** A courier: its decisions, what it holds, and its calls. */
+    /** A courier: its decisions, its messages and its calls. */
     private final class Member implements Courier.Actions {
         private final int index;
         private final Map<String, Courier.Message> held = new TreeMap<>();
@@ -206,13 +207,15 @@
             wakeUs = nowUs;
         }
 
-        /** Ends at once; planned, what it has learnt goes on. The calls that were out may have run. */
+        /**
+         * Restarts the courier at once. If planned, its state is handed over. Calls in flight may have been executed.
+         */
         private void restart(final boolean planned) {
             final List<Courier.Memory> memories = control.memories();
             out.forEach((id, atUs) -> firstRunUs.putIfAbsent(id, atUs));
             out.clear();
             dues.clear();
-            // A process that was killed takes what it was told along.
+            // A killed process loses what it knew.
             told &= planned;
             begin();
             if (planned) {
@@ -319,12 +322,12 @@
 
         @Override
         public void closeIdle(final long endpoint) {
-            // No connections here.
+            // The model has no connections.
         }
 
         @Override
         public void follow() {
-            // The list is pushed.
+            // The list is pushed in this model.
         }
 
         @Override
--- a/src/test/java/driftchute/ColdServerTest.java
+++ b/src/test/java/driftchute/ColdServerTest.java
@@ -17,18 +17,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A server that is back from an outage bears what a whole fleet sends it, though no courier hears another. */
+/** A server that recovers from an outage can take what a whole fleet sends it, although no courier knows of another. */
 final class ColdServerTest {
     private final Scene scene = new Scene(Scene.fleetOf(30));
 
     /**
-     * Even traffic, and three couriers that see five times what the others do; some are restarted in the outage and
-     * after it. Those that saw the outage send, in any span, no more than five sixths of what the server bears; all
-     * together at most once in thirty plays so much that it is theirs if it falls (docs/cold-servers.md).
+     * Uniform traffic, and traffic with three couriers that get five times as much; some are restarted during and after
+     * the outage. Couriers that saw the outage send, in any span, no more than five sixths of what the server can take.
+     * All together send so much that the overload would be their fault at most once in thirty runs
+     * (docs/cold-servers.md).
      */
     @ParameterizedTest
     @EnumSource(Outage.class)
-    void aColdServerIsNotPushedOverByAllCouriersTogether(final Outage outage) {
+    void allCouriersTogetherDoNotOverloadAColdServer(final Outage outage) {
         final List<String> broken = new ArrayList<>();
         double most = 0;
         int plays = 0;
@@ -63,16 +64,16 @@
         assertTrue(30 * broken.size() <= plays, plays + " plays: " + String.join("\n", broken));
     }
 
-    /** A few messages a minute: one failure is all that such a courier sees of an outage. */
+    /** With a few messages per minute, one failure is all that a courier sees of an outage. */
     @Test
-    void aCourierThatSawOneFailureLooksAgainWithOneCall() {
+    void aCourierThatSawOneFailureProbesWithOneCall() {
         failOnce();
         scene.pass(1300 * MS);
         assertEquals(2, scene.sent.size(), "of four that wait: " + scene.sent);
     }
 
     @Test
-    void andWhatWaitsThereIsPacedAfterItsFirstSuccess() {
+    void waitingMessagesArePacedAfterTheFirstSuccess() {
         failOnce();
         scene.pass(1300 * MS);
         scene.end(scene.sent.get(1).id(), Result.DELIVERED);
@@ -82,9 +83,9 @@
         assertTrue(scene.sent.size() > 2, "and they go in time");
     }
 
-    /** What fails right behind a success is crowding or chance: the window is not closed for it. */
+    /** A failure directly after a success is overload or chance, so the window stays open. */
     @Test
-    void oneFailureRightBehindASuccessHoldsNothingBack() {
+    void oneFailureRightAfterASuccessHoldsNothingBack() {
         scene.list(Courier.Update.RESTORED, Scene.endpoint(1, DEST, "a"));
         scene.take("warm", 0);
         scene.end("warm", Result.DELIVERED);
--- a/src/test/java/driftchute/ControlFleetTest.java
+++ b/src/test/java/driftchute/ControlFleetTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the decisions make of rations and verdicts: gentler for having heard, never bolder. */
+/** How rate leases and verdicts affect the decisions: they make them more cautious, never bolder. */
 final class ControlFleetTest {
     private static final double RESERVE = 0.2;
     private static final double LIMIT = 10;
@@ -34,7 +34,10 @@
         verdict(standing, scene.nowUs, 0);
     }
 
-    /** Keeps messages waiting for so long, each call delivered after 20 ms with the limit in its answer; the calls made. */
+    /**
+     * Keeps messages waiting for that long and delivers each call after 20 ms with the limit in its answer. Returns the
+     * number of calls.
+     */
     private int load(final long us) {
         final int before = scene.sent.size();
         for (long untilUs = scene.nowUs + us; scene.nowUs < untilUs; ) {
@@ -50,16 +53,16 @@
     }
 
     @Test
-    void aRationBoundsTheRateAndItsEndLeavesTheEvenPartOfTheReserve() {
+    void aRateLeaseBoundsTheRateAndItsExpiryLeavesTheEvenPartOfTheReserve() {
         load(Scene.SECOND);
         view(Map.of(Scene.DEST, new Ration(5, scene.nowUs + 10 * Scene.SECOND)), Map.of());
         assertThat(load(10 * Scene.SECOND)).isBetween(42, 51);
-        // Two couriers: each has half of the reserve, one call a second.
+        // Each of the two couriers has half of the reserve, one call per second.
         assertThat(load(10 * Scene.SECOND)).isBetween(8, 11);
     }
 
     @Test
-    void noRationIsBelievedAboveTheLimitThatWasToldHere() {
+    void noRateLeaseExceedsTheLimitKnownHere() {
         load(Scene.SECOND);
         view(Map.of(Scene.DEST, new Ration(1000, scene.nowUs + 10 * Scene.SECOND)), Map.of());
         assertThat(load(5 * Scene.SECOND)).isBetween(42, 51);
@@ -76,7 +79,7 @@
     }
 
     @Test
-    void whereAnOutageIsHeardOfOnlyPermittedTrialsAreMadeAndNothingIsReported() {
+    void duringAnOutageReportedByOthersOnlyPermittedProbesAreMadeAndNothingIsReported() {
         verdict(Standing.OUT);
         scene.take("a", 0);
         scene.pass(5 * Scene.SECOND);
@@ -100,7 +103,7 @@
     }
 
     @Test
-    void whereNobodyDealsOutTrialsEachMakesItsOwnAndStaleVerdictsCountForNothing() {
+    void withoutACoordinatorEachCourierProbesAndExpiredVerdictsAreIgnored() {
         verdict(Standing.OUT, scene.nowUs, NEVER);
         scene.take("a", 0);
         scene.pass(12 * Scene.SECOND);
@@ -117,7 +120,7 @@
     }
 
     @Test
-    void onlyEvidenceLaterThanTheOwnFailuresEndsAnOutage() {
+    void onlyEvidenceLaterThanItsOwnFailuresEndsAnOutage() {
         for (int n = 0; n < 4; n++) {
             scene.take("f" + n, 0, null, 2 * Scene.SECOND);
             scene.pass(Scene.SECOND);
--- a/src/test/java/driftchute/ControlRetryTest.java
+++ b/src/test/java/driftchute/ControlRetryTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Which message may go again, until when, and who ends it (WIRE, rules 1 and 2). */
+/** Which messages may be sent again, until when, and how they are ended (WIRE, rules 1 and 2). */
 final class ControlRetryTest {
     private static final int SAFE = 0;
     private static final int KEYED = 1;
@@ -26,7 +26,7 @@
 
     private final Scene scene = Scene.withTwoEndpoints(Scene.settings());
 
-    /** The same settings, with keys that are remembered for one second. */
+    /** The same settings with an idempotency window of one second. */
     private static Scene shortWindow() {
         final Courier.Settings of = Scene.settings();
         final List<Courier.MessageClass> classes = of.classes().stream()
@@ -65,7 +65,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"ERROR", "TIMED_OUT", "RESET", "CANCELLED"})
-    void anUnsafeMessageGoesAgainOnlyWhileNoAttemptMayHaveRun(final Result result) {
+    void anUnsafeMessageIsSentAgainOnlyIfNoAttemptMayHaveBeenExecuted(final Result result) {
         scene.take("pay", UNSAFE);
         scene.end("pay", Result.NO_CONNECTION);
         scene.pass(2 * SECOND);
@@ -79,7 +79,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"REFUSED", "NO_CONNECTION", "NOT_SENT"})
-    void anUnsafeMessageThatNeverRanIsRefusedAndNotFailed(final Result result) {
+    void anUnexecutedUnsafeMessageIsRefusedAndNotFailed(final Result result) {
         scene.take("pay", UNSAFE, null, 3 * SECOND);
         scene.list(Update.CHANGES, Scene.in(Condition.GONE, 1), Scene.in(Condition.GONE, 2));
         scene.end("pay", result);
@@ -88,9 +88,12 @@
         assertTrue(scene.failed.isEmpty());
     }
 
-    /** Two attempts that may have run: the window runs from the first, and one that never ran does not begin it. */
+    /**
+     * Two attempts that may have been executed: the window starts with the first of them, not with one that was
+     * certainly not executed.
+     */
     @Test
-    void aKeysWindowRunsFromTheFirstAttemptThatMayHaveRun() {
+    void aKeysWindowStartsWithTheFirstAttemptThatMayHaveBeenExecuted() {
         scene.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
         scene.take("m", KEYED);
         scene.end("m", Result.NO_CONNECTION);
@@ -109,7 +112,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 990, 0, true", "1, 500, 1, false", "4, 1500, 0, true", "0, 1500, 1, false"})
-    void aRestartThatTakesLongerThanTheWindowEndsAMessageThatMayHaveRun(
+    void aRestartLongerThanTheWindowEndsAMessageThatMayHaveBeenExecuted(
             final int kind, final long agoMs, final int calls, final boolean ends) {
         final Scene late = shortWindow();
         resume(late, "m", kind, 10 * SECOND, ran(late, agoMs * MS));
@@ -119,9 +122,9 @@
         assertEquals(kind == ZONED, late.failed.contains("m"), "refused only where any endpoint knows the repeat");
     }
 
-    /** A second attempt would come too late for the key: the first one's answer is worth waiting for. */
+    /** A second attempt would come too late for the key, so the first one's answer is worth waiting for. */
     @Test
-    void aKeyedAttemptThatCanHaveNoOtherIsNotGivenUpEarly() {
+    void aKeyedAttemptThatCannotBeRepeatedIsNotEndedEarly() {
         final Scene one = shortWindow();
         one.take("m", KEYED);
         one.take("safe", SAFE);
@@ -129,7 +132,7 @@
     }
 
     @Test
-    void whatHasNoTimeLeftAtARestartIsEndedAtOnceAndOnce() {
+    void expiredMessagesAreEndedOnceDirectlyAfterARestart() {
         resume(scene, "untried", SAFE, 0, new Courier.Past(0, false, 0, ""));
         resume(scene, "unsafe", UNSAFE, -SECOND, ran(scene, 2 * SECOND));
         scene.control.decide(scene.nowUs);
@@ -139,10 +142,13 @@
         assertTrue(scene.sent.isEmpty());
     }
 
-    /** Well, out or cold: none is ended early with no call; what is cold gets them at its pace. */
+    /**
+     * Closed, open or in slow start: no message is ended early without a call; a cold destination gets them at its
+     * pace.
+     */
     @ParameterizedTest
     @EnumSource(Courier.Phase.class)
-    void whatARestartFindsUntriedWithHalfOfItsTimeLeftIsTried(final Courier.Phase phase) {
+    void untriedMessagesWithHalfOfTheirTimeLeftAreTriedAfterARestart(final Courier.Phase phase) {
         scene.control.onMemory(
                 scene.nowUs,
                 new Courier.Memory(
@@ -180,7 +186,7 @@
         assertTrue(called >= (phase == Courier.Phase.WELL ? 20 : 5), phase + ": " + called);
     }
 
-    /** Nothing here can be called: each message is ended in the end, and in its time. */
+    /** No endpoint can be called: each message is ended once, at its deadline. */
     @ParameterizedTest
     @EnumSource(names = {"LISTED", "DRAINING", "GONE"})
     void aMessageWithoutAnEndpointIsEndedInItsTime(final Condition condition) {
@@ -204,7 +210,7 @@
     }
 
     @Test
-    void aMessageThatIsWithdrawnWhileItsCallIsOutNeverGoesAgain() {
+    void aMessageWithdrawnWhileInFlightIsNeverSentAgain() {
         scene.take("m", SAFE);
         scene.control.onExpired(scene.nowUs, "m");
         scene.end("m", Result.RESET);
--- a/src/test/java/driftchute/ControlTest.java
+++ b/src/test/java/driftchute/ControlTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The decisions, by behaviour: the table, each rule, each failure found. */
+/** The decisions by behaviour: Table I, each rule, and each failure found. */
 final class ControlTest {
     private static final int SAFE = 0;
     private static final int KEYED = 1;
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void everyMessageEndsExactlyOnceBeforeItsTimeIsUp() {
+    void everyMessageEndsExactlyOnceBeforeItsDeadline() {
         final Scene empty = new Scene(Scene.settings());
         empty.take("lonely", SAFE);
         empty.pass(15 * SECOND);
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void anUnsafeMessageThatMayHaveRunGetsNoSecondAttemptAndNoRefusal() {
+    void anUnsafeMessageThatMayHaveBeenExecutedIsNeitherRetriedNorRefused() {
         scene.take("pay", UNSAFE);
         scene.end("pay", Result.RESET);
         assertEquals(List.of("pay"), scene.failed);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void anUnsafeMessageThatNeverRanIsSentAgain() {
+    void anUnexecutedUnsafeMessageIsSentAgain() {
         scene.take("pay", UNSAFE);
         scene.end("pay", Result.NO_CONNECTION);
         scene.pass(2 * SECOND);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void anUnsafeAttemptHasTheWholeTimeOfItsMessage() {
+    void anUnsafeAttemptLastsUntilItsMessagesDeadline() {
         scene.take("pay", UNSAFE);
         assertEquals(16 * SECOND, scene.last("pay").timeoutUs());
     }
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void aZoneKeyedMessageThatMayHaveRunStaysInItsZoneAndIsNeverRefused() {
+    void aZoneKeyedMessageThatMayHaveBeenExecutedStaysInItsZoneAndIsNeverRefused() {
         scene.take("m", ZONED);
         final long endpoint = scene.last("m").endpoint();
         scene.end("m", Result.RESET);
@@ -178,7 +178,7 @@
     }
 
     @Test
-    void aToldWaitHoldsTheWholeDestinationForEveryMessage() {
+    void aRequestedWaitAppliesToEveryMessageOfTheDestination() {
         scene.take("m", SAFE);
         scene.tell("m", Result.REFUSED, 1500 * MS);
         scene.take("other", KEYED);
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void aToldWaitHoldsOnlyTheRouteWhereRoutesAreApart() {
+    void aRequestedWaitAppliesOnlyToTheRouteIfRoutesAreSeparate() {
         final Scene apart = Scene.withTwoEndpoints(Scene.settings(16, 1, true, false));
         apart.take("m", SAFE);
         final long first = apart.last("m").endpoint();
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void aRouteThatIsGoneAndListedAgainStillHasItsWait() {
+    void aRouteThatIsDelistedAndListedAgainStillHasItsWait() {
         final Scene apart = new Scene(Scene.settings(16, 1, true, false));
         apart.list(Update.RESTORED, Scene.endpoint(1, DEST, "a"));
         apart.take("m", SAFE);
@@ -213,7 +213,7 @@
     }
 
     @Test
-    void aKeyThatWasUsedUpStartsAnew() {
+    void aFinishedKeyStartsAgain() {
         scene.take("first", TURN, "k", 16 * SECOND);
         scene.end("first", Result.DELIVERED);
         scene.pass(3 * SECOND);
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void messagesOfOneKeyGoInTurnAndRestAfterAnOpenAttempt() {
+    void messagesOfOneKeyAreOrderedAndRestAfterAnUnansweredAttempt() {
         scene.take("first", TURN, "k", 16 * SECOND);
         scene.take("second", TURN, "k", 16 * SECOND);
         assertEquals(0, scene.count("second"));
@@ -237,7 +237,7 @@
     }
 
     @Test
-    void deadDestinationGetsSingleTrialsFarApartAndARampAfterItsReturn() {
+    void aDeadDestinationGetsRareProbesAndSlowStartAfterItsRecovery() {
         for (int index = 0; index < 30; index++) {
             scene.take("m" + index, SAFE, null, 60 * SECOND);
         }
@@ -251,9 +251,9 @@
         assertTrue(scene.sent.size() - returned <= 3, "no rush at a cold destination");
     }
 
-    /** A route apart, and a destination that a message made up, are not kept for good. */
+    /** Separate routes, and destinations that only a message named, are not kept for ever. */
     @Test
-    void whatHasLongBeenOfNoUseIsForgotten() {
+    void unusedDestinationsAreForgotten() {
         final Scene apart = new Scene(Scene.settings(16, 1, true, false));
         apart.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
         apart.take("m", SAFE);
@@ -267,9 +267,9 @@
         assertEquals(0, apart.control.destinationsKnown());
     }
 
-    /** An outage belongs to the endpoints that had it: the machine that replaces them is tried at once. */
+    /** An outage belongs to the endpoints that had it: an endpoint that replaces them is tried at once. */
     @Test
-    void aNewEndpointIsTriedAtOnceWhereTheOldOnesWereOut() {
+    void aNewEndpointIsTriedAtOnceAfterAnOutageOfTheOldOnes() {
         for (int index = 0; index < 10; index++) {
             scene.take("m" + index, SAFE, null, 60 * SECOND);
         }
@@ -278,9 +278,9 @@
         assertTrue(scene.sent.stream().anyMatch(send -> send.endpoint() == 3 && send.atUs() == scene.nowUs));
     }
 
-    /** Seen on sockets: endpoints closed kept connections at their next use, and were taken for sick. */
+    /** Endpoints that closed kept connections at their next use were taken for unhealthy. */
     @Test
-    void aResetOnAKeptConnectionClosesTheOthersAndBlamesNobody() {
+    void aResetOnAKeptConnectionClosesTheOthersAndCountsAgainstNoEndpoint() {
         final Scene one = new Scene(Scene.settings());
         one.list(Update.RESTORED, Scene.endpoint(1, DEST, "a"));
         one.take("warm", SAFE);
@@ -293,9 +293,9 @@
         assertEquals(2, one.count("m"), "a new one that is reset is the endpoint's fault");
     }
 
-    /** Seen on sockets: a refused call of five counted five times, and two of them passed for an outage. */
+    /** A refused call of five messages counted as five refusals, so that two of them looked like an outage. */
     @Test
-    void aSharedCallThatIsTurnedAwayIsOneRefusal() {
+    void aRefusedSharedCallCountsAsOneRefusal() {
         final Scene shared = new Scene(Scene.settings(16, 5, false, false));
         shared.list(Update.RESTORED, Scene.endpoint(1, DEST, "a"));
         for (int index = 0; index < 7; index++) {
@@ -316,9 +316,9 @@
                 5, shared.sent.stream().filter(send -> send.atUs() == lastUs).count(), "not a lone trial");
     }
 
-    /** Seen on sockets: after a false outage a destination that takes five in a call got one for nine seconds. */
+    /** After a false outage, a destination that takes five messages per call got one per call for nine seconds. */
     @Test
-    void aDestinationThatCameBackIsServedInSharedCalls() {
+    void aRecoveredDestinationIsServedInSharedCalls() {
         final Scene shared = new Scene(Scene.settings(16, 5, false, false));
         shared.list(Update.RESTORED, Scene.endpoint(1, DEST, "a"));
         for (int index = 0; index < 30; index++) {
@@ -343,7 +343,7 @@
     }
 
     @Test
-    void anUnsafeMessageIsTheLastToBeRiskedOnATrial() {
+    void anUnsafeMessageIsTheLastToBeUsedForAProbe() {
         for (int index = 0; index < 4; index++) {
             scene.take("m" + index, KEYED);
         }
@@ -357,7 +357,7 @@
     }
 
     @Test
-    void oneSickEndpointIsAvoidedWhileItsDestinationGoesOn() {
+    void oneUnhealthyEndpointIsAvoidedWhileItsDestinationIsServed() {
         for (int round = 0; round < 40; round++) {
             scene.take("m" + round, SAFE);
             outstanding()
@@ -371,9 +371,9 @@
         assertTrue(scene.sent.size() >= 40);
     }
 
-    /** Incident: hung calls took every slot of couriers with few, and healthy destinations starved. */
+    /** Incident: hung calls used all slots of couriers with few slots, and healthy destinations starved. */
     @Test
-    void aSilentCallIsCalledOffWhenItsSlotIsWanted() {
+    void anOverdueCallIsCancelledWhenItsSlotIsNeeded() {
         final Scene tight = new Scene(Scene.settings(1, 1, false, false));
         tight.list(Update.RESTORED, Scene.endpoint(1, DEST, "a"), Scene.endpoint(9, 99, "a"));
         tight.take("hung", UNSAFE);
@@ -386,9 +386,9 @@
         assertEquals(1, tight.count("other"));
     }
 
-    /** Incident: idle connections were dropped on their way, and calls over them went silent everywhere. */
+    /** Incident: idle connections were dropped by the network, and calls over them got no answer, on all endpoints. */
     @Test
-    void idleConnectionsAreClosedBeforeUseWhereCallsOverThemGoSilent() {
+    void idleConnectionsAreClosedBeforeUseIfCallsOverThemGetNoAnswer() {
         scene.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
         for (int round = 0; round < 12; round++) {
             scene.take("warm" + round, SAFE);
@@ -408,7 +408,7 @@
         assertTrue(scene.closed.size() >= 2, "closed: " + scene.closed);
     }
 
-    /** Untouched scores at size: idle connections of fifty couriers filled endpoints that take six to sixteen. */
+    /** Idle connections of fifty couriers used up the connections of endpoints that accept six to sixteen. */
     @Test
     void manyCouriersDoNotKeepIdleConnections() {
         final Scene many = Scene.withTwoEndpoints(Scene.fleetOf(50));
@@ -422,9 +422,9 @@
         assertEquals(List.of(), scene.closed, "a small fleet keeps them");
     }
 
-    /** Days of slow partners on port-louis-main: calls called off were read as dead idle connections. */
+    /** With slow destinations, calls that this courier had cancelled were taken for dead idle connections. */
     @Test
-    void aCallThatWeCalledOffDoesNotMakeIdleConnectionsSuspect() {
+    void aCancelledCallDoesNotMakeIdleConnectionsUntrusted() {
         final Scene two = new Scene(Scene.settings(2, 1, false, false));
         two.list(
                 Update.RESTORED,
@@ -449,9 +449,9 @@
         assertEquals(List.of(), two.closed, "no idle connection is given up for it");
     }
 
-    /** Clumps on the quiet day of sfax-lab-later: a lane met once a minute has had no steps to grow in. */
+    /** A route used once a minute has had no steps to grow its window in, and its messages come in bursts. */
     @Test
-    void aRareLaneOfALargeFleetStartsWithAWiderWindow() {
+    void aRouteOfALargeFleetStartsWithAWiderWindow() {
         final Scene many = Scene.withTwoEndpoints(Scene.fleetOf(50));
         for (int index = 0; index < 10; index++) {
             many.take("m" + index, SAFE);
@@ -461,9 +461,9 @@
         assertEquals(2, scene.sent.size());
     }
 
-    /** Incident i6a814b: trials of hundreds of couriers pushed returning destinations over. */
+    /** Incident: the probes of hundreds of couriers overloaded recovering destinations. */
     @Test
-    void theTrialsOfManyCouriersStayUnderTwoThirdsOfThePushOnAReturningDestination() {
+    void theProbesOfManyCouriersStayUnderTwoThirdsOfARecoveringDestinationsOverload() {
         final int couriers = 120;
         final double arrivals = 3;
         final List<Scene> fleet = new ArrayList<>();
@@ -488,15 +488,16 @@
                             send.atUs() >= fromUs && send.atUs() < untilUs && send.atUs() > firstUs + 2 * SECOND)
                     .count();
         }
-        // The rule's own bound: two thirds of the push from those who saw the outage, where first calls of the others
-        // bring as much as arrives. (The tipping rate alone would be 24 of the 120: couriers are younger than outages.)
+        // The rule's bound: two thirds of the overload from couriers that saw the outage, while the first calls of the
+        // others amount to the arrivals. (The overload rate alone would be 24 of the 120: couriers are younger than
+        // outages.)
         final double most = 2 * arrivals * (untilUs - fromUs) / SECOND;
         assertTrue(trials > 0 && trials <= most, trials + " trials, at most " + most);
     }
 
-    /** Incident i6a814b: all couriers that were told when a shut destination opens came at that moment. */
+    /** Incident: all couriers that were told when a closed destination opens returned at that moment. */
     @Test
-    void couriersToldTheSameWaitDoNotComeBackAtTheSameMoment() {
+    void couriersWithTheSameWaitDoNotReturnTogether() {
         final List<Long> returns = new ArrayList<>();
         for (int seed = 0; seed < 30; seed++) {
             final Scene one = new Scene(Scene.fleetOf(50), Scene.seed(seed));
@@ -540,9 +541,9 @@
         assertTrue(well >= 2 * sick, "the other class goes on there: " + well);
     }
 
-    /** What may not be repeated waits for its answer to the end, at one endpoint of two: the other one serves on. */
+    /** Unsafe messages wait for their answers to the end at one of two endpoints; the other one continues to serve. */
     @Test
-    void anEndpointThatFallsSilentDoesNotStopItsDestination() {
+    void aSilentEndpointDoesNotStopItsDestination() {
         scene.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"), Scene.endpoint(2, DEST, "a"));
         serveFor(8);
         for (int index = 0; index < 8; index++) {
@@ -562,9 +563,9 @@
         assertTrue(served >= 45, "of the last 50: " + served);
     }
 
-    /** What may not be repeated still waits for its answer when its destination has long been back. */
+    /** Unsafe messages still wait for their answers when their destination has long recovered. */
     @Test
-    void callsThatAreStuckDoNotKeepADestinationFromBeingTriedAgain() {
+    void hungCallsDoNotPreventProbesOfTheirDestination() {
         serveFor(8);
         for (int index = 0; index < 4; index++) {
             scene.take("pay" + index, UNSAFE);
@@ -584,9 +585,9 @@
         assertTrue(served >= 10, "of 60, on the ramp of a cold destination: " + served);
     }
 
-    /** What is in flight together is turned away together, in less time than anything could be served. */
+    /** Calls in flight together are refused together, in less time than anything could be served. */
     @Test
-    void aBurstOfRefusalsBehindASuccessIsNoOutage() {
+    void aBurstOfRefusalsAfterASuccessIsNoOutage() {
         for (int round = 0; round < 100; round++) {
             for (int index = 0; index < 6; index++) {
                 scene.take("busy" + round + "-" + index, SAFE);
@@ -606,7 +607,7 @@
         assertTrue(out().count() >= 2, "not a lone trial: " + out().toList());
     }
 
-    /** A reset of a kept connection costs a safe message a little time, and an unsafe one its end. */
+    /** A reset of a kept connection costs a safe message a little time, but ends an unsafe one. */
     @Test
     void anUnsafeMessageGetsAFreshConnectionWhereKeptOnesWereReset() {
         scene.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
@@ -627,10 +628,10 @@
         assertTrue(scene.closed.isEmpty(), "no reset for as long as a connection is kept");
     }
 
-    /** Two couriers of one limit: each keeps to its part, and takes to the other's where that is left unused. */
+    /** Two couriers share a limit: each keeps to its part, and uses the other's if that is unused. */
     @ParameterizedTest
     @CsvSource({"0, 8, 12", "1, 13, 30"})
-    void aLimitThatAnswersTellIsSharedOut(final double shareLeft, final long least, final long most) {
+    void aReportedLimitIsDividedAmongTheCouriers(final double shareLeft, final long least, final long most) {
         for (int tenth = 0; tenth < 100; tenth++) {
             for (int index = 0; index < 4; index++) {
                 scene.take("m" + tenth + "-" + index, SAFE);
@@ -658,7 +659,7 @@
 
     /** A hung destination returns nothing, and Table I alone would let its window grow. */
     @Test
-    void aSilentDestinationIsReadAsAnOutage() {
+    void aSilentDestinationCountsAsAnOutage() {
         serveFor(1);
         for (int index = 0; index < 20; index++) {
             scene.take("m" + index, SAFE, null, 60 * SECOND);
@@ -668,7 +669,7 @@
         assertTrue(scene.sent.size() - before <= 4, "sends into silence: " + (scene.sent.size() - before));
     }
 
-    /** Couriers share nothing: after refusals, bursts into one counted span are spread out. */
+    /** Couriers share nothing: after refusals, sends are spread out, so that no burst falls into one counted span. */
     @Test
     void sendsAreSpacedAfterAStepWithRefusals() {
         serveFor(5);
@@ -687,7 +688,7 @@
     }
 
     @Test
-    void aToldLimitBoundsTheRateOfSendsFromTheStart() {
+    void anExactLimitBoundsTheSendRateFromTheStart() {
         final Scene told = Scene.withTwoEndpoints(Scene.told());
         told.take("first", SAFE);
         told.end("first", Result.DELIVERED);
@@ -697,9 +698,12 @@
         assertEquals(1, told.count("second"));
     }
 
-    /** A limit counts calls: where each of one class takes a call of its own, a line of them leaves no other room. */
+    /**
+     * A limit counts calls: if each unsafe message took its own call, a queue of them would leave no capacity for
+     * others.
+     */
     @Test
-    void unsafeMessagesShareACallWithTheirLike() {
+    void unsafeMessagesShareACallOnlyWithUnsafeOnes() {
         final Scene shared = new Scene(Scene.settings(16, 5, false, false));
         for (int index = 0; index < 6; index++) {
             shared.take("m" + index, index % 2 == 0 ? UNSAFE : SAFE);
@@ -727,7 +731,7 @@
     }
 
     @Test
-    void theStoreIsNeverFullAtTheDoor() {
+    void spaceIsKeptFreeForNewMessages() {
         final Scene empty = new Scene(Scene.settings());
         for (int index = 0; index < 60; index++) {
             empty.take("m" + index, index % 2 == 0 ? SAFE : KEYED);
@@ -736,9 +740,9 @@
         assertTrue(empty.refused.size() >= 20, "room is made for each");
     }
 
-    /** As a share of its class's worth: a message worth two, late by now, goes before a fresh one that is worth one. */
+    /** Relative to the class's value: a late message worth two is refused before a fresh one worth one. */
     @Test
-    void whatHasLeastToGainOfItsClassesWorthMakesRoom() {
+    void messagesWithTheLeastToGainAreRefusedFirst() {
         final Scene empty = new Scene(Scene.settings());
         for (int index = 0; index < 20; index++) {
             empty.take("late" + index, SAFE);
@@ -766,7 +770,7 @@
     }
 
     @Test
-    void anExpiredMessageAndItsLateOutcomeAreIgnored() {
+    void aWithdrawnMessageAndItsLateOutcomeAreIgnored() {
         scene.take("m", SAFE);
         scene.control.onExpired(scene.nowUs, "m");
         scene.end("m", Result.TIMED_OUT);
@@ -838,7 +842,7 @@
     }
 
     @Test
-    void aResumedMessageKeepsWhatBecameOfItBefore() {
+    void aResumedMessageKeepsItsHistory() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
         resume(scene, "safe", 0, new Courier.Past(1, true, scene.nowUs - Scene.SECOND, "a"));
         assertEquals(1, scene.count("safe"), "a safe one may go again");
@@ -853,7 +857,7 @@
     }
 
     @Test
-    void nothingIsBegunThatAStopWouldCutOff() {
+    void noCallBeginsThatAStopWouldCutOff() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
         scene.control.onStopping(scene.nowUs, scene.nowUs + Scene.MS);
         scene.take("late", 0);
@@ -870,7 +874,7 @@
     }
 
     @Test
-    void aBarredEndpointGetsNothingWhateverTheListSays() {
+    void aDisabledEndpointGetsNothingEvenIfItIsListed() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
         bar(scene, 1L);
         scene.list(Update.WHOLE, Scene.endpoint(1, Scene.DEST, "a"), Scene.endpoint(2, Scene.DEST, "b"));
@@ -882,9 +886,9 @@
         assertTrue(scene.sent.stream().allMatch(send -> send.endpoint() == 2));
     }
 
-    /** What the restart of a barred endpoint cuts off says nothing of the destination's health. */
+    /** Calls cut off by the restart of a disabled endpoint say nothing about the destination's health. */
     @Test
-    void resetsFromABarredEndpointDoNotPutItsDestinationOut() {
+    void resetsFromADisabledEndpointDoNotOpenTheCircuit() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
         final List<String> cut = new ArrayList<>();
         for (int count = 0; count < 4; count++) {
@@ -901,9 +905,9 @@
         assertEquals(1, scene.count("next"), "nothing is held back");
     }
 
-    /** The only endpoint of a destination comes back cold: what waited for it may not go in a burst. */
+    /** The only endpoint of a destination is enabled again and cold: waiting messages must not be sent in a burst. */
     @Test
-    void aDestinationWhoseOnlyEndpointIsBackIsPacedLikeAColdOne() {
+    void aDestinationWhoseOnlyEndpointIsEnabledAgainIsPacedLikeAColdOne() {
         final Scene scene = new Scene(Scene.settings());
         scene.list(Update.RESTORED, Scene.endpoint(1, Scene.DEST, "a"));
         bar(scene, 1L);
@@ -921,9 +925,9 @@
         assertTrue(scene.sent.size() > 1);
     }
 
-    /** Of two endpoints the one that is back gets fewer calls than the warm one, but it gets some. */
+    /** Of two endpoints, the one that was enabled again gets fewer calls than the warm one, but gets some. */
     @Test
-    void anEndpointThatIsBackGetsLessWhileItIsCold() {
+    void anEnabledEndpointGetsLessWhileItIsCold() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
         bar(scene, 1L);
         scene.pass(20 * Scene.SECOND);
@@ -940,9 +944,11 @@
         assertTrue(scene.sent.stream().anyMatch(send -> send.endpoint() == 1), scene.sent.toString());
     }
 
-    /** A list from before the start may name what drains by now: the answer to the first question comes first. */
+    /**
+     * A list from before the start may name endpoints that drain by now, so the first answer of discovery is awaited.
+     */
     @Test
-    void nothingGoesOnARestoredListUntilItIsConfirmedOrCannotBeHad() {
+    void nothingIsSentOnARestoredListUntilItIsConfirmedOrUnavailable() {
         for (final Update news : List.of(Update.CHANGES, Update.WHOLE, Update.LOST)) {
             final Scene scene = Scene.withTwoEndpoints(Scene.settings(4, 1, false, true));
             scene.list(Update.RESTORED, Scene.endpoint(1, DEST, "a"));
@@ -978,9 +984,9 @@
                 1);
     }
 
-    /** A wait that the process before was told binds this one too: they are one courier. */
+    /** A wait that the predecessor process was asked for also binds this one: they are one courier. */
     @Test
-    void aWaitToldToTheProcessBeforeIsKept() {
+    void aWaitOfThePredecessorIsKept() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
         scene.control.onMemory(scene.nowUs, memory(0, Courier.Phase.WELL, scene.nowUs + SECOND));
         scene.take("m", 0);
@@ -990,9 +996,9 @@
         assertEquals(1, scene.count("m"));
     }
 
-    /** Calls that the process before still has out count against slots and shares until they end. */
+    /** Calls that the predecessor process still has in flight count against slots and shares until they end. */
     @Test
-    void callsOfTheProcessBeforeCountUntilTheyEnd() {
+    void callsOfThePredecessorCountUntilTheyEnd() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings(4, 1, false, false));
         scene.control.onMemory(scene.nowUs, memory(3, Courier.Phase.WELL, 0));
         scene.take("m", 0);
@@ -1011,9 +1017,9 @@
         assertEquals(3, scene.sent.size(), "all of its share is this one's");
     }
 
-    /** Where the process before has calls out, nothing goes once what these were told is known for too long ago. */
+    /** While the predecessor has calls in flight, nothing is sent there if its state is not known recently enough. */
     @Test
-    void nothingGoesWhereASilentProcessHasCallsOut() {
+    void nothingIsSentWhereASilentPredecessorHasCallsInFlight() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
         scene.control.onMemory(scene.nowUs, memory(1, Courier.Phase.WELL, 0));
         scene.control.onHeard(scene.nowUs, scene.nowUs - 1);
@@ -1030,9 +1036,11 @@
         assertEquals(1, scene.count("n"), "no calls are out there any more");
     }
 
-    /** An outage that the process before saw is one for this one: trials, and a ramp after the first success. */
+    /**
+     * An outage seen by the predecessor process is known to this one: probes, and slow start after the first success.
+     */
     @Test
-    void anOutageThatTheProcessBeforeSawIsKnown() {
+    void anOutageSeenByThePredecessorIsKnown() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
         scene.control.onMemory(scene.nowUs, memory(0, Courier.Phase.OUT, 0));
         for (int count = 0; count < 5; count++) {
@@ -1043,7 +1051,7 @@
     }
 
     @Test
-    void whatIsLearntIsHandedOnAsItStands() {
+    void learntStateIsExportedUnchanged() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
         scene.take("m", 0);
         scene.end("m", Result.REFUSED, 700 * MS);
--- a/src/test/java/driftchute/CrowdedLimitTest.java
+++ b/src/test/java/driftchute/CrowdedLimitTest.java
@@ -13,17 +13,17 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Many couriers at a destination that is asked for more than its limit, and one whose store is full. */
+/** Many couriers at a destination whose limit is exceeded, and one courier whose store is full. */
 final class CrowdedLimitTest {
     private static final int COURIERS = 50;
     private static final double LIMIT = 10;
 
     /**
-     * All are turned away in one moment, and all have more to send. Their even parts of the limit are of one length: coming
-     * back after just that, they would be turned away together again, and so on (panela-poa, calm).
+     * All couriers are refused at the same moment and have more to send. Their even parts of the limit give the same
+     * interval: returning after just that, they would be refused together again and again (seen on panela-poa, calm).
      */
     @Test
-    void couriersTurnedAwayTogetherDoNotComeBackTogether() {
+    void couriersRefusedTogetherDoNotReturnTogether() {
         final List<Long> againUs = new ArrayList<>();
         for (int courier = 0; courier < COURIERS; courier++) {
             final Scene scene = new Scene(Scene.fleetOf(COURIERS), Scene.seed(courier));
@@ -49,9 +49,9 @@
                 .isLessThan(COURIERS / 2);
     }
 
-    /** What others leave of a limit is there for all of them: the report that tells of it is heard by all at once. */
+    /** What others leave of a limit is available to all couriers, and all receive the report of it at once. */
     @Test
-    void aLargeFleetDoesNotTakeTheUnusedShareManyTimesOver() {
+    void aLargeFleetDoesNotUseTheUnusedShareManyTimesOver() {
         int sent = 0;
         for (int courier = 0; courier < COURIERS; courier++) {
             final Scene scene = new Scene(Scene.fleetOf(COURIERS), Scene.seed(courier));
@@ -67,9 +67,9 @@
                 .isLessThanOrEqualTo(6 * LIMIT);
     }
 
-    /** The store is full of two classes, one worth twice the other: neither gives up all the room that has to be made. */
+    /** The store is full of two classes, one worth twice the other: neither gives up all the space that is needed. */
     @Test
-    void theClassOfLeastWorthDoesNotMakeAllTheRoom() {
+    void theClassOfLeastValueIsNotTheOnlyOneRefused() {
         final Scene scene = new Scene(Scene.settings());
         for (int i = 0; i < 60; i++) {
             scene.take(i % 2 == 0 ? "two" + i : "one" + i, i % 2 == 0 ? 0 : 2);
--- a/src/test/java/driftchute/LibraryUseTest.java
+++ b/src/test/java/driftchute/LibraryUseTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's example as a host would write it, and what misuse does. */
+/** The decisions used as by a host, and the effect of misuse. */
 final class LibraryUseTest {
     private final Scene transport = new Scene(Scene.settings());
 
     @Test
-    void theReadmeExampleDeliversAMessage() {
+    void aHostDeliversAMessage() {
         final Courier.Actions actions = transport;
         final Courier control = new Control(Scene.settings(), 7, actions);
         final long nowUs = transport.nowUs;
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void anOutcomeOrAnEndOfAMessageThatIsNotHereIsIgnored() {
+    void anOutcomeOrWithdrawalOfAnUnknownMessageIsIgnored() {
         transport.control.onExpired(transport.nowUs, "unknown");
         transport.control.onOutcome(
                 transport.nowUs, new Courier.Outcome("unknown", Courier.Result.DELIVERED, true, 1, 1, 0, null));
--- a/src/test/java/driftchute/Scene.java
+++ b/src/test/java/driftchute/Scene.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** A scripted courier for tests: a made-up clock, recorded actions, and short words for the events. */
+/** A courier under test with a manual clock, recorded actions, and short methods for the events. */
 final class Scene implements Courier.Actions {
     static final long MS = 1000;
     static final long SECOND = 1_000_000;
     static final long DEST = 57;
 
-    /** A send that was recorded. */
+    /** A recorded send. */
     record Sent(String id, long endpoint, long timeoutUs, long atUs) {}
 
     final List<Sent> sent = new ArrayList<>();
@@ -33,7 +33,7 @@
         this.control = new Control(settings, seed, this);
     }
 
-    /** Well-mixed seeds for a fleet: neighbouring ones would begin alike. */
+    /** Well-mixed seeds for a fleet; neighbouring seeds would give similar random numbers at first. */
     static long seed(final int courier) {
         return (courier + 1) * 0x9E3779B97F4A7C15L;
     }
@@ -53,7 +53,7 @@
         return new Courier.Endpoint(id, condition, "a", 1, 0, DEST);
     }
 
-    /** Settings in which all classes of the tests occur: 0 safe, 1 keyed, 2 unsafe, 3 in turn, 4 keyed by zone. */
+    /** Settings with all classes of the tests: 0 safe, 1 keyed, 2 unsafe, 3 ordered, 4 keyed per zone. */
     static Courier.Settings settings(final int slots, final int perCall, final boolean apart, final boolean ask) {
         final List<Courier.MessageClass> classes = List.of(
                 kind("safe", Courier.Effect.SAFE, false, false, 2),
@@ -84,7 +84,7 @@
                 new Courier.Limits(slots, 40, 8, true, 10 * SECOND, 1, 2 * SECOND));
     }
 
-    /** As {@link #settings()}, with the limit told exactly. */
+    /** As {@link #settings()}, with an exact limit in the list. */
     static Courier.Settings told() {
         return settings(16, 1, false, false, Courier.Weights.NOMINAL, settings().classes());
     }
@@ -93,7 +93,7 @@
         return settings(16, 1, false, false);
     }
 
-    /** As {@link #settings()}, in a fleet of so many couriers. */
+    /** As {@link #settings()}, in a fleet of that size. */
     static Courier.Settings fleetOf(final int couriers) {
         final Courier.Settings few = settings();
         return new Courier.Settings(
@@ -133,7 +133,7 @@
         control.decide(nowUs);
     }
 
-    /** Takes a message for another destination. */
+    /** Accepts a message for another destination. */
     void takeFor(final String id, final int kind, final long destination) {
         control.onMessage(nowUs, new Courier.Message(id, kind, -1, null, nowUs + 16 * SECOND, destination));
         control.decide(nowUs);
@@ -149,13 +149,13 @@
         control.decide(nowUs);
     }
 
-    /** Delivers a message, with what its destination tells of its limit. */
+    /** Delivers a message whose answer reports the destination's limit. */
     void deliver(final String id, final Courier.Allowance allowance) {
         tell(id, Courier.Result.DELIVERED, 0, allowance);
         control.decide(nowUs);
     }
 
-    /** As {@link #end}, without letting the courier decide yet. */
+    /** As {@link #end}, without a decision yet. */
     void tell(final String id, final Courier.Result result, final long waitUs) {
         tell(id, result, waitUs, null);
     }
@@ -176,7 +176,7 @@
                         allowance));
     }
 
-    /** Lets time pass, with the reminders that were asked for. */
+    /** Advances the clock and delivers the wake-ups that were requested. */
     void pass(final long us) {
         final long until = nowUs + us;
         while (true) {
@@ -200,7 +200,7 @@
                 .orElseThrow();
     }
 
-    /** Attempts of a message that have their outcome. */
+    /** Number of a message's attempts that have ended. */
     long ended(final String id) {
         return outcomes.getOrDefault(id, 0);
     }
