--- a/src/main/java/driftchute/fleet/ration/Allocator.java
+++ b/src/main/java/driftchute/fleet/ration/Allocator.java
@@ -14,30 +14,30 @@
 import java.util.function.BiConsumer;
 
 /**
- * Divides each limit among the couriers that want a part of it, while its courier holds the duty. The shares that it
- * has granted and that may still be in use never sum over the part that may be leased (docs/fleet-rations.md, Bounds).
- * Times are monotonic us.
+ * Divides each limit among the couriers that demand a share of it, while its courier holds the role. The granted shares
+ * that may still be in use never exceed the part that may be leased (docs/fleet-rations.md, Bounds). Times are
+ * monotonic us.
  */
 class Allocator {
-    /** Destinations of one courier that are reckoned with; it can crowd out none of another's. */
+    /** Maximum number of destinations of one courier. No courier can displace another's. */
     static final int MOST_DESTINATIONS = 1024;
-    /** Part of what nobody demands that goes to the askers; the rest is there at once for a newcomer. */
+    /** Part of the unclaimed capacity that goes to those who ask. The rest is available at once for newcomers. */
     private static final double SPARE = 0.5;
-    /** A share under this part of its target is granted again when others' shares have run out. */
+    /** A share below this part of its target is raised when other shares have expired. */
     private static final double SHORT = 0.9;
-    /** A second answer must be greater than the first by this factor and this share, or it is not worth its bytes. */
+    /** A further grant must exceed the previous one by this factor and this share to be worth sending. */
     private static final double WORTH = 1.1;
 
     private static final int GAIN = Shares.WHOLE / 200;
-    /** How often shares that fell short are looked at again, us. */
+    /** Interval at which shares below their target are examined again, us. */
     private static final long AGAIN_US = 25_000;
 
     private static final double MILLION = 1_000_000;
 
-    /** A share that may be in use until then. */
+    /** A granted share that may be in use until then. */
     private record Out(int share, long untilUs) {}
 
-    /** What one courier wants of one destination, by its last want, and what it may still be using. */
+    /** The last demand of one courier for one destination, and the shares it may still be using. */
     private static final class Line {
         private long seq;
         private long heardUs;
@@ -45,7 +45,10 @@
         private double demand;
         private int granted;
         private boolean owed;
-        /** Shares fall and ends rise from the first to the last: what is under a later, greater one does not matter. */
+        /**
+         * From first to last, shares decrease and expiry times increase: a share below a later, greater one is
+         * irrelevant.
+         */
         private final Deque<Out> outs = new ArrayDeque<>();
 
         int out(final long nowUs) {
@@ -64,7 +67,7 @@
         }
     }
 
-    /** One courier: its wants by destination, and its settings as it stated them. */
+    /** One courier: its demands by destination, and the settings it reported. */
     private static final class Client {
         private final Map<Long, Line> lines = new HashMap<>();
         private int reserve;
@@ -76,7 +79,7 @@
     private final double driftPart;
     private final Client own = new Client();
     private final Map<Integer, Client> clients = new TreeMap<>();
-    /** The last limit of each destination, for when those who knew it are gone. */
+    /** The last limit of each destination, for when the couriers that reported it are gone. */
     private final Map<Long, Double> limits = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -98,7 +101,7 @@
         own.rationUs = block.rationMs() * 1000L;
     }
 
-    /** Its courier holds the duty under this token now, or does not. @return true if a term began or ended */
+    /** Updates whether its courier holds the role, and under which token. @return true if a term began or ended */
     boolean term(final long nowUs, final OptionalLong held) {
         final boolean changed = !token.equals(held);
         if (changed) {
@@ -108,7 +111,7 @@
         return changed;
     }
 
-    /** From when on it grants: what the holder before it may have granted has run out by then. */
+    /** When it begins to grant: the previous holder's grants have expired by then. */
     long readyUs() {
         return termFromUs + withDrift(longestUs());
     }
@@ -126,7 +129,7 @@
                         .orElse(0));
     }
 
-    /** The greatest reserve that a courier works by: it cannot be leased. */
+    /** The greatest reserve that any courier uses. It cannot be leased. */
     private int reserve() {
         return Math.max(
                 own.reserve,
@@ -136,7 +139,7 @@
                         .orElse(0));
     }
 
-    /** A want has come; it is answered through {@code reply} as far as something may be granted now. */
+    /** Handles a lease request; answers through {@code reply} as far as something may be granted now. */
     void want(final long nowUs, final int from, final Want want, final BiConsumer<Integer, Grant> reply) {
         final Client client = clients.computeIfAbsent(from, unused -> new Client());
         client.reserve = want.reserve();
@@ -167,7 +170,7 @@
         return token.isPresent() && nowUs >= readyUs();
     }
 
-    /** Grants again, by the same wants, where shares of others that stood in the way have run out. */
+    /** Grants more on existing requests if shares of other couriers that prevented it have expired. */
     void again(final long nowUs, final BiConsumer<Integer, Grant> reply) {
         if (!ready(nowUs) || nowUs < lookUs) {
             return;
@@ -198,7 +201,8 @@
             final int share = share(nowUs, client, destination);
             if (share > 0) {
                 final Line line = client.lines.get(destination);
-                // The courier stops a ration time after it sent this want; so it is out from when the want came.
+                // The courier stops using the share one lease time after it sent this request, so it counts from the
+                // request's arrival.
                 line.grant(share, line.heardUs + withDrift(own.rationUs));
                 portions.add(new Grant.Portion(destination, share, (float) limit(nowUs, destination)));
             }
@@ -208,7 +212,7 @@
         }
     }
 
-    /** The share that this courier may have now: its fair part, as far as others' shares leave it. */
+    /** The share that this courier may have now: its fair share, as far as the others' shares permit. */
     private int share(final long nowUs, final Client client, final long destination) {
         final Line line = client.lines.get(destination);
         final double limit = limit(nowUs, destination);
@@ -244,13 +248,13 @@
         return share;
     }
 
-    /** What is demanded above the reserve part, as a share of the limit. */
+    /** The demand above the reserved part, as a share of the limit. */
     private Claim claim(final double demand, final double limit, final int reserve) {
         final double part = limit <= 0 ? 0 : demand / limit * Shares.WHOLE - (double) reserve / couriers;
         return new Claim(Math.max(0, part), 0, 1);
     }
 
-    /** The lowest limit that couriers have lately told; failing that the last one; 0: none is known. */
+    /** The lowest limit reported recently, otherwise the last one; 0 if none is known. */
     private double limit(final long nowUs, final long destination) {
         double lowest = Double.POSITIVE_INFINITY;
         for (final Client client : clients.values()) {
@@ -266,7 +270,7 @@
         return lowest;
     }
 
-    /** When it wants to look again: soon while a courier got less than its part, else never. */
+    /** When it should examine again: soon while a courier has less than its share, else never. */
     long nextUs(final long nowUs) {
         if (token.isEmpty()
                 || clients.values().stream()
--- a/src/main/java/driftchute/fleet/ration/Allotment.java
+++ b/src/main/java/driftchute/fleet/ration/Allotment.java
@@ -7,29 +7,38 @@
 import java.util.List;
 
 /**
- * What one courier knows, wants and may send of one destination: the limit told, its demand, its live leases, and for
- * how long it has been allowed how much.
+ * One courier's state for one destination: the reported limit, its demand, its leases, and the history of its allowed
+ * rate.
  */
 final class Allotment {
-    /** Headroom on the calls made. What it asks beyond its use is lost to the others in overload, so it is small. */
+    /** Headroom on the calls made. Demand beyond the use is lost to the others during overload, so it is small. */
     private static final double HEADROOM = 1.05;
-    /** Paced calls have a line that comes and goes. Up to so many seconds of it is to be sent slowly, in so many s. */
+    /**
+     * The queue of paced calls comes and goes. Up to this many seconds of it may be sent slowly, within that many
+     * seconds.
+     */
     private static final double LINE_S = 2;
 
     private static final double SLOWLY_S = 10;
-    /** A demand that has grown by more than this factor counts at once, unsmoothed. */
+    /** A demand that has grown by more than this factor counts at once, without smoothing. */
     private static final double JUMP = 2;
-    /** A lease that ends sooner is published only where no other lives: the next view comes later than in 100 ms. */
+    /**
+     * A lease that expires sooner is published only if there is no other, because the next view may come up to 100 ms
+     * later.
+     */
     private static final long LOOK_AHEAD_US = 200_000;
 
     private static final double SECOND_US = 1_000_000;
-    /** Leases kept: three live at once, and more only after repeated answers to one want. */
+    /** Maximum number of leases. Three are valid at a time, more only after repeated answers to one request. */
     private static final int MOST_LEASES = 16;
-    /** Changes of the level that are kept; older ones are joined, at the lower level. */
+    /** Maximum number of stored level changes. Older ones are merged at the lower level. */
     private static final int MOST_STEPS = 64;
-    /** A courier that asks goes on until its demand is under this part of its reserve part: no asking on and off. */
+    /**
+     * A courier that asks continues until its demand is below this part of its reserved part, to avoid switching on and
+     * off.
+     */
     private static final double STILL = 0.8;
-    /** Calls a second that nobody asks for: one in ten seconds. */
+    /** Minimum demand worth asking for, calls per second: one in ten seconds. */
     private static final double LEAST = 0.1;
 
     private record Lease(int share, double basis, long untilUs) {
@@ -38,14 +47,14 @@
         }
     }
 
-    /** From then on, and up to the next step, at least so many calls a second were allowed. */
+    /** From this time to the next step, at least this rate was allowed. */
     private record Step(long fromUs, double level) {}
 
     private final double reservePart;
     private final long settleUs;
     private final ToldLimit told;
     private final List<Lease> leases = new ArrayList<>();
-    /** The newest first. */
+    /** Newest first. */
     private final Deque<Step> steps = new ArrayDeque<>();
 
     private long lookedUs;
@@ -56,9 +65,11 @@
     private boolean asking;
 
     /**
-     * @param reservePart this courier's own part of each limit
-     * @param settleUs over which demand is smoothed, and after which it is none if it is not reported
-     * @param windowUs over which reports of the limit are smoothed
+     * Creates the state of a destination.
+     *
+     * @param reservePart this courier's reserved part of each limit
+     * @param settleUs time constant for smoothing the demand, and the time without reports after which it is zero
+     * @param windowUs window for smoothing reports of the limit
      */
     Allotment(final long nowUs, final double reservePart, final long settleUs, final long windowUs) {
         this.reservePart = reservePart;
@@ -67,7 +78,10 @@
         this.reportedUs = this.lookedUs = this.usedUs = nowUs;
     }
 
-    /** The destination is used: its limit as told (0: none), the calls a second made and the messages that wait. */
+    /**
+     * The destination is in use. Reports its limit (0: none), the calls per second made and the number of waiting
+     * messages.
+     */
     void report(final long nowUs, final double limit, final double callsPerSecond, final int waiting) {
         look(nowUs);
         told.told(nowUs, limit);
@@ -76,7 +90,7 @@
         look(nowUs);
     }
 
-    /** The destination is not used. */
+    /** The destination is not in use. */
     void idle(final long nowUs) {
         demand(nowUs, 0);
         look(nowUs);
@@ -88,24 +102,24 @@
         reportedUs = nowUs;
     }
 
-    /** What to ask for, calls a second: 0 where the reserve part is enough, or where the traffic has fallen silent. */
+    /** The rate to ask for, calls per second; 0 if the reserved part is enough or the reports have stopped. */
     double wanted(final long nowUs) {
         final double enough = (asking ? STILL : 1) * reserve();
         asking = demand > Math.max(enough, LEAST) && nowUs - reportedUs < settleUs;
         return asking ? demand : 0;
     }
 
-    /** The limit told, calls a second; 0: none. */
+    /** The reported limit, calls per second; 0 if none. */
     double limit() {
         return told.limit();
     }
 
-    /** When the traffic last spoke of it. */
+    /** When the traffic last reported it. */
     long usedUs() {
         return usedUs;
     }
 
-    /** A share of the limit is this courier's until that moment. */
+    /** This courier is granted a share of the limit until that time. */
     void grant(final long nowUs, final int share, final double limit, final long untilUs) {
         look(nowUs);
         final Lease lease = new Lease(share, limit, untilUs);
@@ -125,7 +139,7 @@
         return reservePart * (told.limit() > 0 ? told.limit() : basis);
     }
 
-    /** Notes what is allowed now. A fall is taken to have come right after the last look, a rise to come now. */
+    /** Records the rate allowed now. A decrease is dated to the last call of this method, an increase to now. */
     private void look(final long nowUs) {
         leases.removeIf(lease -> lease.untilUs() <= nowUs);
         final double level = reserve()
@@ -145,7 +159,9 @@
         lookedUs = nowUs;
     }
 
-    /** What may be sent from now on, the reserve part included, and until when; null where no lease lives. */
+    /**
+     * The rate that may be used from now on, including the reserved part, and its expiry; null without a valid lease.
+     */
     Ration ration(final long nowUs) {
         look(nowUs);
         if (leases.isEmpty()) {
@@ -167,8 +183,8 @@
     }
 
     /**
-     * The greatest rate up to this one that was allowed all through the last call's time at that rate. Calls so far
-     * apart never outnumber what was allowed, however it rose and fell. The reserve part is always allowed.
+     * The greatest rate up to {@code rate} that was allowed throughout the last call interval at that rate. Calls at
+     * these intervals never exceed what was allowed, however it changed. The reserved part is always allowed.
      */
     private double stood(final long nowUs, final double rate) {
         double least = rate;
--- a/src/main/java/driftchute/fleet/ration/Grant.java
+++ b/src/main/java/driftchute/fleet/ration/Grant.java
@@ -8,13 +8,13 @@
 import java.util.List;
 
 /**
- * The allocator's answer to the want of that sequence number, under its token: shares that hold for so many ms from
- * when that want was sent, by its sender's clock and less the drift.
+ * The allocator's answer to the request with that sequence number, under its token. The shares are valid for {@code
+ * rationMs} from when the request was sent, on its sender's clock and less the drift.
  */
 record Grant(long seq, long token, int rationMs, List<Portion> portions) implements Message {
     static final int TYPE = 0x31;
 
-    /** A share of a destination's limit, and the limit on which it was reckoned, calls a second. */
+    /** A share of a destination's limit, and the limit it is based on, calls per second. */
     record Portion(long destination, int share, float limit) {}
 
     @Override
--- a/src/main/java/driftchute/fleet/ration/MaxMin.java
+++ b/src/main/java/driftchute/fleet/ration/MaxMin.java
@@ -7,32 +7,36 @@
 
 /**
  * Max-min fair division (Bertsekas and Gallager, Data Networks, 2nd edition, 6.5.2): nobody gets more than it demands,
- * and nobody's part can grow but at the cost of one that has no more, by weight, than it.
+ * and no share can grow except at the expense of one that is not larger by weight.
  */
 public final class MaxMin {
     /**
-     * What one asks for; all three are finite and 0 or more.
+     * A claim; all three figures are finite and 0 or more.
      *
-     * @param demand the most that it takes
-     * @param guarantee what it gets in any case, as far as it demands that much; if the capacity does not hold all
-     *     guarantees, each gets its part of them
-     * @param weight its part of what is divided, above 0
+     * @param demand maximum that it can use
+     * @param guarantee minimum that it gets, up to its demand; if the capacity is less than all guarantees, they are
+     * reduced in proportion
+     * @param weight its weight in the division, above 0
      */
     public record Claim(double demand, double guarantee, double weight) {
-        /** @throws IllegalArgumentException for a figure out of its bounds */
+        /**
+         * Checks the values.
+         *
+         * @throws IllegalArgumentException for a value out of bounds
+         */
         public Claim {
             if (!(demand >= 0 && guarantee >= 0 && weight > 0) || Double.isInfinite(demand + guarantee + weight)) {
-                throw new IllegalArgumentException("no claim: " + demand + ", " + guarantee + ", " + weight);
+                throw new IllegalArgumentException("invalid claim: " + demand + ", " + guarantee + ", " + weight);
             }
         }
     }
 
-    /** Where, as the common level rises, a part starts to grow or stops. */
+    /** A point at which a share starts or stops growing as the common level rises. */
     private record Turn(double level, double slope) {}
 
     private MaxMin() {}
 
-    /** Parts of a capacity for these demands, all of one weight and without guarantees. */
+    /** Divides a capacity by demand, with equal weights and without guarantees. */
     public static double[] share(final double capacity, final double[] demand) {
         return share(
                 capacity,
@@ -40,14 +44,14 @@
     }
 
     /**
-     * Parts of a capacity, in the claims' order: each min(demand, max(guarantee, weight x level)) for the one level at
-     * which they use the capacity, or all that is demanded.
+     * Divides a capacity. Each claim gets min(demand, max(guarantee, weight x level)), for the one level that uses up
+     * the capacity or satisfies all demand; in the order of the claims.
      *
-     * @throws IllegalArgumentException for a capacity that is not finite, or below 0
+     * @throws IllegalArgumentException for a capacity that is negative or not finite
      */
     public static double[] share(final double capacity, final List<Claim> claims) {
         if (!(capacity >= 0) || Double.isInfinite(capacity)) {
-            throw new IllegalArgumentException("no capacity: " + capacity);
+            throw new IllegalArgumentException("invalid capacity: " + capacity);
         }
         final double sure = claims.stream().mapToDouble(MaxMin::sure).sum();
         if (sure >= capacity) {
@@ -65,7 +69,7 @@
         return Math.min(claim.demand(), claim.guarantee());
     }
 
-    /** The level up to which all parts are filled; infinite where the capacity holds all that is demanded. */
+    /** The level up to which all shares are filled; infinite if the capacity satisfies all demand. */
     private static double level(final double capacity, final double sure, final List<Claim> claims) {
         final List<Turn> turns = new ArrayList<>();
         for (final Claim claim : claims) {
--- a/src/main/java/driftchute/fleet/ration/Rations.java
+++ b/src/main/java/driftchute/fleet/ration/Rations.java
@@ -20,34 +20,36 @@
 import java.util.Set;
 
 /**
- * Limits of the whole fleet (docs/fleet-rations.md). It asks the allocator for a share of each limit that this courier
- * could use beyond its part of the reserve, and is the allocator while it holds that duty.
+ * Rate limits shared by the whole fleet (docs/fleet-rations.md). Asks the allocator for the share of each limit that
+ * this courier can use beyond its reserved part, and acts as the allocator while it holds that role.
  *
- * <p>The moment given with a message must have been read after the message was taken from the socket: the proof that an
- * old allocator's grants end in time rests on it.
+ * <p>The clock reading passed with a message must be taken after the message was taken from the socket. The proof that
+ * an old allocator's grants expire in time depends on it.
  */
 public final class Rations implements Part {
-    /** Destinations that are kept; what is used beyond that has its part of the reserve. */
+    /** Maximum number of destinations. Others have only the reserved part. */
     static final int MOST_DESTINATIONS = Allocator.MOST_DESTINATIONS;
-    /** Wants in a ration time: two in a row may be lost before a share runs out. */
+    /** Requests per lease time: two in a row may be lost before a share expires. */
     private static final int WANTS = 3;
-    /** Wants in a ration time while no share lives: a lost one, or an allocator that is gone, costs less time. */
+    /**
+     * Requests per lease time while there is no valid share, to lose less time by a lost request or a failed allocator.
+     */
     private static final int LONE_WANTS = 6;
-    /** A ration time has so many least spans between wants, for destinations newly used. */
+    /** Fraction of a lease time that is the minimum interval of requests for newly used destinations. */
     private static final int EAGER = 15;
-    /** Wants that are remembered: those of the last ration time, also where each destination has its own. */
+    /** Maximum number of remembered requests: those of one lease time, even if each destination has its own. */
     private static final int MOST_SENT = 256;
-    /** A destination that was not used for so long is forgotten, us. */
+    /** Time without use after which a destination is forgotten, us. */
     private static final long FORGET_US = 60_000_000;
-    /** How often it looks while a share lives, us: a raise takes effect a call's time after the grant. */
+    /** Interval of checks while a share is valid, us. An increase takes effect one call interval after the grant. */
     private static final long LOOK_US = 50_000;
-    /** Least time between two lines about refused grants, us. */
+    /** Minimum interval of log lines about refused grants, us. */
     private static final long LINE_US = 1_000_000;
-    /** Wants are early or late by up to a tenth, so that couriers do not stay in step. */
+    /** Random variation of the request interval, so that couriers do not act in step. */
     private static final double JITTER = 0.1;
-    /** Sequences start at the wall clock's ms, with as many random bits below it. */
+    /** Sequence numbers start at the wall-clock time in ms, followed by this many random bits. */
     private static final int CHANCE_BITS = 10;
-    /** A wall clock beyond the year 10000 would make sequences of more than 63 bits. */
+    /** A wall clock beyond the year 10000 would give sequence numbers of more than 63 bits. */
     private static final long MOST_WALL_MS = (1L << 48) - 1;
 
     private static final double MILLION = 1_000_000;
@@ -74,9 +76,9 @@
     private long lineUs = Long.MIN_VALUE / 2;
 
     /**
-     * The rations of one courier.
+     * Creates the rate leases of one courier.
      *
-     * @param seed of its chance, another one for each process
+     * @param seed source of randomness, different for each process
      */
     public Rations(final Tier tier, final FleetBlock block, final Duty duty, final long seed, final Events events) {
         this(tier, block, duty, seed, events, new Allocator(tier.size(), block));
@@ -106,8 +108,8 @@
     }
 
     /**
-     * What the traffic knows and wants of each destination that it uses; about every 100 ms. Figures that are absurd
-     * count as none; destinations that are not named are not used.
+     * Handles what the traffic knows and needs of each destination in use, about every 100 ms. Implausible figures
+     * count as none; destinations that are not listed are not in use.
      */
     public void reports(final Moment now, final List<Courier.Report> reports) {
         final long nowUs = now.monoUs();
@@ -134,7 +136,10 @@
         return figure > 0 && figure <= Want.MOST_RATE ? figure : 0;
     }
 
-    /** What this courier may send, reserve part included, until when (monotonic us); none where none is leased. */
+    /**
+     * The rates that this courier may use, including the reserved part, and their expiry (monotonic us); none without a
+     * lease.
+     */
     public Map<Long, Courier.Ration> rations(final Moment now) {
         final Map<Long, Courier.Ration> rations = new LinkedHashMap<>();
         allotments.forEach((destination, allotment) -> {
@@ -155,7 +160,7 @@
         }
     }
 
-    /** Whether this courier is the allocator at this moment; asked right before each grant. */
+    /** Whether this courier is the allocator now. Checked directly before each grant. */
     private boolean holds(final Moment now) {
         final OptionalLong held = duty.held(now);
         if (allocator.term(now.monoUs(), held)) {
@@ -215,7 +220,7 @@
         return Math.min(allocator.nextUs(nowUs), nowUs + (looks ? LOOK_US : rationUs / WANTS));
     }
 
-    /** What to ask for: all that is wanted, and once more what is not wanted any longer. */
+    /** The demands to send: all present ones, and once more those that have ended. */
     private List<Want.Ask> asks(final long nowUs) {
         final List<Want.Ask> asks = new ArrayList<>();
         allotments.forEach((destination, allotment) -> {
--- a/src/main/java/driftchute/fleet/ration/ToldLimit.java
+++ b/src/main/java/driftchute/fleet/ration/ToldLimit.java
@@ -4,13 +4,13 @@
 import java.util.Deque;
 
 /**
- * A limit as one courier's answers tell it: the median of a window, since single reports may be off by an eighth.
- * A report far below the median is no such error and counts at once.
+ * Estimate of a limit from one courier's answers: the median of a window, because a single report may be off by an
+ * eighth. A report far below the median is a real decrease and counts at once.
  */
 final class ToldLimit {
-    /** A report under this part of the median is a lowered limit: two reports that are 13% off differ by less. */
+    /** A report below this part of the median is a lowered limit. Two reports that are each 13% off differ by less. */
     private static final double LOWERED = 0.75;
-    /** Reports kept: twice the usual ration time's at one in 100 ms. */
+    /** Maximum number of reports: twice the usual lease time's at one per 100 ms. */
     private static final int MOST = 32;
 
     private record Sample(long atUs, double limit) {}
@@ -23,7 +23,7 @@
         this.windowUs = windowUs;
     }
 
-    /** A report tells this limit, calls a second; 0: it tells none, and what is older than the window is forgotten. */
+    /** Adds a reported limit, calls per second; 0 if there was none. Reports older than the window are dropped. */
     void told(final long nowUs, final double told) {
         samples.removeIf(sample -> sample.atUs() <= nowUs - windowUs);
         if (told > 0) {
@@ -38,7 +38,7 @@
         limit = told > 0 && told < LOWERED * median ? told : median;
     }
 
-    /** Calls a second; 0: none is known. */
+    /** The estimated limit, calls per second; 0 if none is known. */
     double limit() {
         return limit;
     }
--- a/src/main/java/driftchute/fleet/ration/Want.java
+++ b/src/main/java/driftchute/fleet/ration/Want.java
@@ -9,21 +9,23 @@
 import java.util.List;
 
 /**
- * What a courier asks of the allocator. The sequence number grows with each want of a process and across its restarts;
- * {@code rationMs} and {@code reserve} (see {@link Shares}) are its own settings.
+ * A courier's request to the allocator. The sequence number grows with each request and across restarts; {@code
+ * rationMs} and {@code reserve} (see {@link Shares}) are the courier's own settings.
  */
 record Want(long seq, int rationMs, int reserve, List<Ask> asks) implements Message {
     static final int TYPE = 0x30;
-    /** No destination takes, and no courier makes, more calls a second than this; a figure above it is absurd. */
+    /** Upper bound of plausible rates, calls per second. */
     static final float MOST_RATE = 1e9f;
-    /** The longest ration time that a configuration may set, ms. */
+    /** Longest lease time that a configuration may set, ms. */
     static final int MOST_MS = 60_000;
-    /** Bytes of an ask, and of a grant's portion at most, beside its destination: two floats. */
+    /** Maximum size of a demand, or of a granted share, beside its destination: two floats, bytes. */
     static final int FIGURES = 2 * Float.BYTES;
-    /** A want's asks take no more than this, so that the grant, with two varints and a time, fits a message too. */
+    /**
+     * Maximum size of a request's demands, so that the grant, with two varints and a time, also fits into one message.
+     */
     static final int MOST_ASKS = Codec.MOST_BODY - 24;
 
-    /** The limit told, calls a second (0: none), and the calls a second that the courier could use (0: none wanted). */
+    /** The reported limit, calls per second (0: none), and the rate that the courier could use (0: none needed). */
     record Ask(long destination, float limit, float demand) {
         int size() {
             return Varint.size(destination) + FIGURES;
@@ -68,7 +70,7 @@
     static int time(final ByteBuffer body) throws MalformedMessageException {
         final long rationMs = Varint.get(body);
         if (rationMs < 1 || rationMs > MOST_MS) {
-            throw new MalformedMessageException("a ration time of " + rationMs + " ms");
+            throw new MalformedMessageException("invalid lease time of " + rationMs + " ms");
         }
         return (int) rationMs;
     }
@@ -76,7 +78,7 @@
     static float rate(final ByteBuffer body) throws MalformedMessageException {
         final float rate = body.getFloat();
         if (!(rate >= 0 && rate <= MOST_RATE)) {
-            throw new MalformedMessageException(rate + " calls a second");
+            throw new MalformedMessageException(rate + " calls per second is out of bounds");
         }
         return rate;
     }
--- a/src/main/java/driftchute/fleet/shared/Office.java
+++ b/src/main/java/driftchute/fleet/shared/Office.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** One duty, held by leases, as the part that acts under it sees it. */
+/** One role held by leases, for the component that acts under it. */
 record Office(Leases leases, int duty) implements Duty {
     @Override
     public OptionalLong held(final Moment now) {
--- a/src/main/java/driftchute/fleet/shared/SharedState.java
+++ b/src/main/java/driftchute/fleet/shared/SharedState.java
@@ -17,12 +17,15 @@
 import java.util.function.LongConsumer;
 
 /**
- * All that one courier shares with its tier: membership, duties, rations and verdicts on one plane (docs/one-fleet.md). Pure;
- * one thread calls it.
+ * All state that one courier shares with its tier: membership, roles, rate leases and verdicts on one control plane
+ * (docs/one-fleet.md). Has no clock or I/O; used by one thread.
  */
 public final class SharedState {
     private static final long US_PER_MS = 1000;
-    /** The duties, by number: who deals out rations, and who deals out trials. */
+    /**
+     * The roles by number: the courier that allocates rate leases, and the one that assigns probes. Their names enter
+     * the hash that ranks the candidates.
+     */
     private static final List<String> DUTIES = List.of("allocator", "trier");
 
     static final int ALLOCATOR = 0;
@@ -37,12 +40,12 @@
     private final Plane plane;
 
     /**
-     * A courier that has just started.
+     * Creates the state of a courier that has just started.
      *
-     * @param seed its only source of chance
-     * @param incarnation one more than it last went by
-     * @param keep told each higher incarnation before a message with it leaves
-     * @param sender where its datagrams go
+     * @param seed the only source of randomness
+     * @param incarnation one more than the last one it used
+     * @param keep called with each higher incarnation before a message with it is sent
+     * @param sender sends the datagrams
      */
     public SharedState(
             final Tier tier,
@@ -73,32 +76,32 @@
         plane = new Plane(tier, List.of(membership, leases, rations, verdicts), sender);
     }
 
-    /** A datagram has come from that courier; {@code now} is read after it was taken from the socket. */
+    /** Handles a datagram from that courier. {@code now} must be read after the datagram was taken from the socket. */
     public void receive(final Moment now, final int from, final byte[] datagram) {
         plane.receive(now, from, datagram);
     }
 
-    /** What this courier's traffic knows and wants. */
+    /** Handles what this courier's traffic knows and needs. */
     public void reports(final Moment now, final List<Courier.Report> reports) {
         rations.reports(now, reports);
         verdicts.reports(now, reports);
     }
 
     /**
-     * Time has passed.
+     * Performs the work that is due.
      *
-     * @return when to call again at the latest, monotonic us
+     * @return the latest time for the next call, monotonic us
      */
     public long tick(final Moment now) {
         return plane.tick(now);
     }
 
-    /** What the traffic gets. */
+    /** The view for the traffic. */
     public Courier.FleetView view(final Moment now) {
         return new Courier.FleetView(reserve, rations.rations(now), verdicts.verdicts(now));
     }
 
-    /** Gives its duties up, and tells the others that it leaves where it does. */
+    /** Gives up the roles and, if {@code leaves}, tells the others that this courier leaves. */
     public void end(final Moment now, final boolean leaves) {
         leases.release(now, plane.outbox());
         if (leaves) {
@@ -107,17 +110,17 @@
         plane.flush(now);
     }
 
-    /** What this courier goes by. */
+    /** This courier's incarnation. */
     public long incarnation() {
         return membership.incarnation();
     }
 
-    /** How often something that came was dropped, by reason. */
+    /** Number of dropped frames and messages by reason. */
     public Map<Codec.Drop, Long> drops() {
         return plane.drops();
     }
 
-    /** How things stand, on one line, for the log: who is present and who holds which duty, as known here. */
+    /** A one-line summary for the log: the number of couriers present and the holders of the roles, as known here. */
     public String describe(final Moment now) {
         final StringBuilder text = new StringBuilder("present "
                 + membership.present().size() + " of " + tier.size() + ", local health " + membership.localHealth());
@@ -129,7 +132,7 @@
                             .map(holding -> holding.courier() + " by token " + holding.token())
                             .orElse("none"));
         }
-        return text.append(", rations ")
+        return text.append(", rate leases ")
                 .append(rations.rations(now).size())
                 .append(", verdicts ")
                 .append(verdicts.verdicts(now).size())
--- a/src/main/java/driftchute/fleet/verdict/BadReport.java
+++ b/src/main/java/driftchute/fleet/verdict/BadReport.java
@@ -6,20 +6,20 @@
 import java.util.Comparator;
 
 /**
- * One courier's word, from its own calls alone, that a destination is out. Times are wall ms.
+ * One courier's report, from its own calls only, that a destination is down. Times are wall-clock ms.
  *
  * @param madeMs its version: when it was made; grows with each report of that courier
  * @param lastMs its last failure there, at or before {@code madeMs}
  * @param sinceMs when the trouble began, at or before {@code lastMs}
- * @param failed calls that failed since; 0: the report is withdrawn
- * @param shutMs until when the destination told it to be shut; 0: it told nothing
+ * @param failed number of failed calls since; 0 withdraws the report
+ * @param shutMs until when the destination announced to be closed; 0 if it did not
  */
 record BadReport(long destination, int reporter, long madeMs, long lastMs, long sinceMs, int failed, long shutMs)
         implements Entry {
     static final int TYPE = 0x40;
-    /** More failed calls than anybody needs to hear of. */
+    /** Upper bound of the failure count; higher counts carry no information. */
     static final int MOST_FAILED = 0xFFFF;
-    /** The later version; the rest decides only between couriers that lie, but must decide. */
+    /** Order by version. The other fields only decide between inconsistent reports, to keep the order total. */
     static final Comparator<BadReport> ORDER = Comparator.comparingLong(BadReport::madeMs)
             .thenComparingLong(BadReport::lastMs)
             .thenComparingLong(BadReport::sinceMs)
@@ -64,7 +64,7 @@
         Varint.put(into, shutMs);
     }
 
-    /** Reads one; what is told shut may lie {@code staleMs} ahead of the report at the most. */
+    /** Reads a report. An announced closing may end at most {@code staleMs} after the report. */
     static BadReport read(final ByteBuffer body, final int couriers, final long staleMs)
             throws MalformedMessageException {
         final long destination = Varint.get(body);
@@ -74,10 +74,10 @@
         final long sinceMs = lastMs - Varint.get(body);
         final long failed = Varint.get(body);
         final long shutMs = Varint.get(body);
-        // Each difference is 0 or more, so that an overflow shows as a time that is below 0.
+        // The differences are not negative, so an overflow shows as a negative time.
         if (reporter >= couriers || lastMs < 0 || sinceMs < 0 || failed > MOST_FAILED || shutMs - madeMs > staleMs) {
-            throw new MalformedMessageException("a report of courier " + reporter + " made " + madeMs + ", last "
-                    + lastMs + ", since " + sinceMs + ", failed " + failed + ", shut " + shutMs);
+            throw new MalformedMessageException("invalid report of courier " + reporter + " created " + madeMs + ", last failure "
+                    + lastMs + ", since " + sinceMs + ", failed " + failed + ", closed until " + shutMs);
         }
         return new BadReport(destination, (int) reporter, madeMs, lastMs, sinceMs, (int) failed, shutMs);
     }
--- a/src/main/java/driftchute/fleet/verdict/Entry.java
+++ b/src/main/java/driftchute/fleet/verdict/Entry.java
@@ -4,34 +4,34 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
 
-/** One piece of evidence, in the state and on the wire alike. */
+/** One piece of evidence, both as state and as a message. */
 sealed interface Entry extends Message permits BadReport, Return {
-    /** The slot of a return, beside those of the reporters. */
+    /** The slot of recovery evidence, beside those of the reporters. */
     int RETURN_SLOT = -1;
-    /** Most that a stamp may lie ahead of this courier's wall clock, ms. */
+    /** Maximum time that an entry may be ahead of this courier's wall clock, ms. */
     long AHEAD_MS = 1000;
 
-    /** Which entry of the state: in each slot of a destination there is one at most. */
+    /** Identifies an entry. Each slot of a destination has at most one. */
     record Key(long destination, int slot) {}
 
     long destination();
 
     int slot();
 
-    /** When it was made, or seen: wall ms. */
+    /** When it was made or observed, wall-clock ms. */
     long stampMs();
 
-    /** Where in the state it belongs. */
+    /** Its key in the state. */
     default Key key() {
         return new Key(destination(), slot());
     }
 
-    /** Neither too old to be kept nor made in the future. */
+    /** True if it is neither too old nor from the future. */
     default boolean isTimely(final long nowMs, final Terms terms) {
         return stampMs() <= nowMs + AHEAD_MS && stampMs() >= nowMs - terms.keptMs();
     }
 
-    /** Its part of the digest of a state. */
+    /** Its contribution to the digest of the state. */
     default int checksum() {
         final ByteBuffer bytes = ByteBuffer.allocate(1 + size()).put((byte) type());
         write(bytes);
--- a/src/main/java/driftchute/fleet/verdict/Evidence.java
+++ b/src/main/java/driftchute/fleet/verdict/Evidence.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** All that is held of destinations in trouble: bounded, forgotten by age, with a digest of the whole. */
+/** All evidence about destinations in trouble: bounded, expired by age, with a digest of the whole. */
 final class Evidence {
-    /** Destinations at the most; a courier serves some tens. One beyond these is judged by own calls alone. */
+    /** Maximum number of destinations; a courier serves some tens. Further ones are judged by own calls only. */
     static final int MOST_DESTINATIONS = 256;
-    /** Type and length before a message's body. */
+    /** Size of the type and length before a message's body, bytes. */
     private static final int PREFIX = 2;
 
     private final Terms terms;
@@ -23,12 +23,12 @@
         this.terms = terms;
     }
 
-    /** Bytes that a message takes in a datagram. */
+    /** Size of a message in a datagram, bytes. */
     static int bytes(final Message message) {
         return PREFIX + message.size();
     }
 
-    /** Takes an entry in. True where it was news; false where it was known, beaten, or there is no room for it. */
+    /** Adds an entry. True if it is news; false if it is known or superseded, or if there is no space for it. */
     boolean take(final Entry entry) {
         final Outage before = outages.get(entry.destination());
         if (before == null && outages.size() >= MOST_DESTINATIONS) {
@@ -43,7 +43,7 @@
         return true;
     }
 
-    /** Drops what is no longer timely. */
+    /** Drops expired entries. */
     void forget(final long nowMs) {
         for (final Iterator<Map.Entry<Long, Outage>> each = outages.entrySet().iterator(); each.hasNext(); ) {
             final Map.Entry<Long, Outage> entry = each.next();
@@ -65,18 +65,18 @@
         return outage.entries().mapToInt(Entry::checksum).sum();
     }
 
-    /** Destinations of which something is held, with it. */
+    /** Destinations with evidence. */
     Map<Long, Outage> outages() {
         return outages;
     }
 
-    /** What is held of a destination, perhaps nothing. */
+    /** The evidence on a destination; may be empty. */
     Outage of(final long destination) {
         final Outage outage = outages.get(destination);
         return outage == null ? new Outage(destination) : outage;
     }
 
-    /** The entry of a slot, or null. */
+    /** The entry of a key, or null. */
     Entry at(final Entry.Key key) {
         return of(key.destination())
                 .entries()
@@ -85,12 +85,12 @@
                 .orElse(null);
     }
 
-    /** Equal for equal contents; 0 for none. */
+    /** Digest of the content: equal for equal contents, 0 if empty. */
     int digest() {
         return digest;
     }
 
-    /** The next entries that fit in so many bytes, in a circle through all. */
+    /** The next entries that fit into so many bytes, cycling through all. */
     List<Entry> window(final int room) {
         final List<Entry> all =
                 outages.values().stream().flatMap(Outage::entries).toList();
--- a/src/main/java/driftchute/fleet/verdict/Judgement.java
+++ b/src/main/java/driftchute/fleet/verdict/Judgement.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * What a state says of a destination at a moment. Times are wall ms.
+ * The assessment of a destination at one time. Times are wall-clock ms.
  *
- * @param sinceMs since when
- * @param shutMs told shut until then; 0: not told
- * @param staleMs from when it counts for nothing, if nothing is heard meanwhile
- * @param by the couriers on whose word it rests
- * @param failed calls that failed, by these
- * @param episode the return before the outage; 0 for none known
+ * @param sinceMs since when it holds
+ * @param shutMs until when the destination announced to be closed; 0 if it did not
+ * @param staleMs when it expires without further news
+ * @param by the couriers that it is based on
+ * @param failed number of failed calls of these couriers
+ * @param episode the recovery before the outage; 0 if none is known
  */
 record Judgement(
         Standing standing, long sinceMs, long shutMs, long staleMs, List<Integer> by, int failed, long episode) {
-    /** Nobody holds anything against it. */
+    /** There is no evidence against the destination. */
     static final Judgement WELL = new Judgement(Standing.WELL, 0, 0, 0, List.of(), 0, 0);
 }
--- a/src/main/java/driftchute/fleet/verdict/Outage.java
+++ b/src/main/java/driftchute/fleet/verdict/Outage.java
@@ -9,17 +9,20 @@
 
 /**
  * The evidence on one destination: a join semilattice. {@link #merge} is commutative, associative and idempotent, so
- * what a courier holds depends on what it heard, not on the order or the number of times. Immutable.
+ * the result depends on what was received, not on its order or repetition. Immutable.
  */
 final class Outage {
-    /** Reports kept: the latest ones. Two make an outage; the rest lets some go stale or be withdrawn. */
+    /**
+     * Maximum number of reports, the latest ones. Two establish an outage; the others allow some to expire or be
+     * withdrawn.
+     */
     static final int MOST_REPORTS = 8;
 
     private static final int TWO = 2;
     private final SortedMap<Integer, BadReport> reports = new TreeMap<>();
     private final Return back;
 
-    /** Nothing heard. */
+    /** No evidence. */
     Outage(final long destination) {
         this(new Return(destination, Return.Seen.NEVER, Return.Seen.NEVER), Stream.empty());
     }
@@ -34,27 +37,27 @@
         }
     }
 
-    /** All that both know. */
+    /** The union of both. */
     Outage merge(final Outage other) {
         return new Outage(
                 back.merge(other.back), Stream.concat(reports.values().stream(), other.reports.values().stream()));
     }
 
-    /** All that this knows, and one thing more. */
+    /** This evidence with one more entry. */
     Outage with(final Entry entry) {
         return entry instanceof Return seen
                 ? new Outage(back.merge(seen), reports.values().stream())
                 : new Outage(back, Stream.concat(reports.values().stream(), Stream.of((BadReport) entry)));
     }
 
-    /** Without what is too old to be kept, or lies in the future since the wall clock was set back. */
+    /** Without entries that are too old, or in the future because the wall clock was set back. */
     Outage timely(final long nowMs, final Terms terms) {
         return new Outage(
                 back.isTimely(nowMs, terms) ? back : new Outage(back.destination()).back,
                 reports.values().stream().filter(report -> report.isTimely(nowMs, terms)));
     }
 
-    /** Its entries, each in its own slot. */
+    /** The entries, each in its own slot. */
     Stream<Entry> entries() {
         return Stream.concat(back.served().ms() > 0 ? Stream.of(back) : Stream.empty(), reports.values().stream());
     }
@@ -68,7 +71,7 @@
         return back;
     }
 
-    /** The reports that count now: neither withdrawn nor stale nor ended by later evidence. */
+    /** The reports that count now: not withdrawn, expired or ended by later evidence. */
     List<BadReport> live(final long nowMs, final Terms terms) {
         return reports.values().stream()
                 .filter(report -> report.failed() > 0
@@ -77,7 +80,7 @@
                 .toList();
     }
 
-    /** What this says at a moment. */
+    /** The assessment at a time. */
     Judgement judge(final long nowMs, final Terms terms) {
         final List<BadReport> live = live(nowMs, terms);
         final long shutMs = live.stream().mapToLong(BadReport::shutMs).max().orElse(0);
@@ -103,7 +106,8 @@
                 .map(BadReport::madeMs)
                 .sorted(Comparator.reverseOrder())
                 .toList();
-        // Two reports hold until the older of the latest two is stale; one that was told shut holds alone.
+        // Two reports hold until the older of the latest two expires. A report with an announced closing holds by
+        // itself.
         final long pairMs = made.get(Math.min(made.size(), TWO) - 1);
         final long toldMs = live.stream()
                 .filter(report -> report.shutMs() > 0)
--- a/src/main/java/driftchute/fleet/verdict/Own.java
+++ b/src/main/java/driftchute/fleet/verdict/Own.java
@@ -6,9 +6,12 @@
 
 /** What this courier's own calls to a destination show, on its monotonic clock. */
 final class Own {
-    /** Shorter told waits are a limit's, whose spans are a second or two; longer ones say that it is shut. */
+    /**
+     * Shorter waits come from a limit, whose spans are a second or two. Longer ones mean that the destination is
+     * closed.
+     */
     private static final long SHUT_LEAST_US = 2_500_000;
-    /** Older trouble counts as so old: no figure of a day ago says more, us. */
+    /** Maximum reported age of a trouble, us; a greater one carries no information. */
     private static final long OLDEST_US = 86_400_000_000L;
 
     private static final long MS_US = 1000;
@@ -19,7 +22,7 @@
     private long lastUs, servedUs, shutUs;
     private long endedUs = Long.MIN_VALUE;
 
-    /** Takes a report of the traffic in. */
+    /** Handles a report of the traffic. */
     void update(final Moment now, final Courier.Report report) {
         final long nowUs = now.monoUs();
         final boolean out = report.phase() == Phase.OUT && report.troubleFromUs() <= nowUs;
@@ -37,7 +40,7 @@
         shutUs = !out ? 0 : shut ? Math.max(shutUs, report.shutUntilUs()) : shutUs;
     }
 
-    /** Whether this courier holds it for out, by its own calls. */
+    /** Whether this courier considers it down by its own calls. */
     boolean isTrouble() {
         return trouble;
     }
@@ -51,17 +54,17 @@
         return lastUs;
     }
 
-    /** When a call was last delivered, us; 0 for never. */
+    /** When a call was last delivered, us; 0 if never. */
     long servedUs() {
         return servedUs;
     }
 
-    /** The same on the wall clock, ms; 0 for never. */
+    /** The same as wall-clock ms; 0 if never. */
     long servedMs(final Moment now) {
         return servedUs == 0 ? 0 : wallMs(now, servedUs);
     }
 
-    /** This as a report, one version after the last. */
+    /** This as a report with the next version. */
     BadReport report(
             final Moment now, final long destination, final int self, final BadReport before, final Terms terms) {
         final long madeMs = Math.max(now.wallMs(), before == null ? 0 : before.madeMs() + 1);
@@ -78,7 +81,7 @@
                 shutMs);
     }
 
-    /** Later evidence has ended what was seen so far: it is not reported again, however long the trouble lasts. */
+    /** Later evidence has ended what was seen so far. It is not reported again, however long the trouble lasts. */
     void end() {
         endedUs = lastUs;
     }
--- a/src/main/java/driftchute/fleet/verdict/Return.java
+++ b/src/main/java/driftchute/fleet/verdict/Return.java
@@ -5,15 +5,15 @@
 import java.nio.ByteBuffer;
 
 /**
- * Evidence that a destination serves. Times are wall ms.
+ * Evidence that a destination serves. Times are wall-clock ms.
  *
  * @param served the latest delivered call that contradicts a report
- * @param back the latest that ended an outage, not later than {@code served}; {@link Seen#NEVER} for none
+ * @param back the latest one that ended an outage, not later than {@code served}; {@link Seen#NEVER} if none
  */
 record Return(long destination, Seen served, Seen back) implements Entry {
     static final int TYPE = 0x41;
 
-    /** A call that was delivered then, to a message of that courier. */
+    /** A call that was delivered at that time, for a message of that courier. */
     record Seen(long ms, int by) implements Comparable<Seen> {
         static final Seen NEVER = new Seen(0, 0);
 
@@ -39,18 +39,18 @@
             final long ms = Varint.get(body);
             final long by = Varint.get(body);
             if (by >= couriers) {
-                throw new MalformedMessageException("a return seen by courier " + by + " of " + couriers);
+                throw new MalformedMessageException("a recovery seen by courier " + by + " of " + couriers);
             }
             return new Seen(ms, (int) by);
         }
     }
 
-    /** Both of the latest. */
+    /** The later of both, for each field. */
     Return merge(final Return other) {
         return new Return(destination, served.max(other.served), back.max(other.back));
     }
 
-    /** Whether the trouble that a report tells of was over by then. */
+    /** Whether the trouble in a report was over by then. */
     boolean ends(final BadReport report, final long lateMs) {
         return report.lastMs() <= served.ms || report.sinceMs() <= back.ms && report.lastMs() <= back.ms + lateMs;
     }
@@ -87,7 +87,7 @@
         final Seen served = Seen.read(body, couriers);
         final Seen back = Seen.read(body, couriers);
         if (served.compareTo(back) < 0) {
-            throw new MalformedMessageException("back at " + back.ms + ", but last served at " + served.ms);
+            throw new MalformedMessageException("recovered at " + back.ms + ", but last served at " + served.ms);
         }
         return new Return(destination, served, back);
     }
--- a/src/main/java/driftchute/fleet/verdict/Rumours.java
+++ b/src/main/java/driftchute/fleet/verdict/Rumours.java
@@ -14,19 +14,21 @@
 import java.util.stream.IntStream;
 
 /**
- * Spreads news: each change goes to a few couriers in turn, so often that nearly all have heard it, then rests (rumour
+ * Gossips changes: each change is sent to a few random couriers per round, until nearly all have received it (rumour
  * mongering with counters; Demers et al. 1987, and SWIM, Das et al. 2002, for the number).
  */
 final class Rumours {
-    /** Couriers told in one round; more cost bytes and save little time. */
+    /** Couriers per round. More would cost bytes and save little time. */
     static final int FAN_OUT = 3;
-    /** Tellings of one change by one courier, times log2 of the tier: one of ten is missed with e^-7. */
+    /** Sendings of one change by one courier, times log2 of the tier size: one of ten is missed with e^-7. */
     private static final int TELLINGS = 2;
-    /** From round to round, us; and after news, at the least: what comes together goes together. */
+    /**
+     * Interval between rounds, us, and the minimum delay after news, so that simultaneous changes are sent together.
+     */
     private static final long ROUND_US = 100_000;
 
     private static final long NEWS_US = 20_000;
-    /** Bytes of entries in a round's datagram: it is whole, with a digest. */
+    /** Maximum size of a round's entries, bytes, so that they fit into one datagram with a digest. */
     static final int MOST_BYTES = 240;
 
     private final Evidence evidence;
@@ -47,13 +49,13 @@
         this.tellings = TELLINGS * (Integer.SIZE - Integer.numberOfLeadingZeros(tier.size()));
     }
 
-    /** That entry has changed; where it changed no verdict, one round is enough, and digests do the rest. */
+    /** An entry has changed. If it changed no verdict, one round is enough, and digests do the rest. */
     void add(final Entry.Key key, final boolean urgent) {
         left.put(key, urgent ? tellings : FAN_OUT);
         news = true;
     }
 
-    /** Whether something was told at this moment: what is under way makes digests differ for nothing. */
+    /** Whether entries were sent at this time: digests would differ because of entries still in transit. */
     boolean isTelling(final Moment now) {
         return lastUs == now.monoUs();
     }
@@ -63,7 +65,7 @@
         return left.isEmpty() ? Long.MAX_VALUE : lastUs + (news ? NEWS_US : ROUND_US);
     }
 
-    /** Tells what is newest, if a round is due. */
+    /** Sends the newest entries, if a round is due. */
     void round(final Moment now, final Outbox out) {
         if (now.monoUs() < dueUs()) {
             return;
--- a/src/main/java/driftchute/fleet/verdict/Trials.java
+++ b/src/main/java/driftchute/fleet/verdict/Trials.java
@@ -10,17 +10,20 @@
 import java.util.Random;
 import java.util.Set;
 
-/** This courier's asks for trials, the permits that it has, and whether anybody deals them out at all. */
+/** This courier's requests for probes, its permits, and whether any courier assigns probes at all. */
 final class Trials {
-    /** Between two asks for a destination, us; a told wait is kept up to a second, in case the trier changes. */
+    /**
+     * Interval between requests for a destination, us; a requested wait is respected up to a second, in case the role
+     * changes hands.
+     */
     private static final long ASK_US = 250_000;
 
     private static final long MOST_WAIT_US = 1_000_000;
     private static final long MS_US = 1000;
-    /** Lease times without a trier after which each courier makes its own trials: one to run out, one to be taken. */
+    /** Lease times without an answer after which each courier makes its own probes: one to expire, one to be taken. */
     private static final int LEASES = 2;
 
-    /** What stands with the trier for one destination. */
+    /** The request for one destination. */
     private static final class Asking {
         private long number, askedUs, nextUs, untilUs;
         private boolean open, permitted;
@@ -41,7 +44,7 @@
         this.events = events;
     }
 
-    /** Time has passed; these destinations are out. */
+    /** Handles the passing of time; these destinations are down. */
     void tick(final Moment now, final Set<Long> out) {
         final boolean slept = now.monoUs() - tickedUs > terms.leaseMs() * MS_US;
         if (!started || slept || duty.holder(now).isPresent()) {
@@ -55,13 +58,13 @@
         askings.keySet().retainAll(out);
     }
 
-    /** Whether nobody has dealt out trials, or answered, for so long that this courier makes its own. */
+    /** Whether nobody has assigned probes, or answered, for so long that this courier makes its own. */
     boolean isAlone(final Moment now) {
         final long longUs = LEASES * terms.leaseMs() * MS_US;
         return started && (now.monoUs() - heardUs >= longUs || askedUs - unansweredUs >= longUs);
     }
 
-    /** Messages wait for a destination that is out and not shut: asks for a trial, if that is due. */
+    /** Messages wait for a destination that is down and not closed: requests a probe, if that is due. */
     void want(final Moment now, final long destination, final Outbox out) {
         final Optional<Duty.Holding> trier = duty.holder(now);
         final Asking asking = askings.computeIfAbsent(destination, unused -> new Asking());
@@ -79,7 +82,7 @@
         out.send(trier.get().courier(), new Words.Ask(destination, number));
     }
 
-    /** The trier answers. What answers an older ask, comes from another or has an old token counts for nothing. */
+    /** Handles a reply. Replies to older requests, from another courier or with an old token are ignored. */
     void answered(final Moment now, final int from, final Words.Answer answer) {
         final Asking asking = askings.get(answer.destination());
         final Optional<Duty.Holding> trier = duty.holder(now);
@@ -104,7 +107,7 @@
         }
     }
 
-    /** A call of this courier there has ended; the first one after a permit was its trial. */
+    /** A call of this courier there has ended. The first one after a permit was its probe. */
     void ended(final long destination, final long endedUs, final boolean delivered) {
         final Asking asking = askings.get(destination);
         if (asking != null && asking.permitted && endedUs > asking.askedUs) {
@@ -113,7 +116,7 @@
         }
     }
 
-    /** Until when a trial is this courier's to make, us; {@code Long.MAX_VALUE}: it makes its own. */
+    /** Until when this courier may make a probe, us; {@code Long.MAX_VALUE} if it makes its own. */
     long untilUs(final Moment now, final long destination) {
         final Asking asking = askings.get(destination);
         return isAlone(now) ? Long.MAX_VALUE : asking == null || !asking.permitted ? 0 : asking.untilUs;
--- a/src/main/java/driftchute/fleet/verdict/Trier.java
+++ b/src/main/java/driftchute/fleet/verdict/Trier.java
@@ -10,16 +10,19 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-/** Deals out trials while this courier has the duty <i>trier</i>: one at a time for a destination, gaps apart. */
+/** Assigns probes while this courier holds the role {@code trier}: one at a time per destination, at intervals. */
 final class Trier {
     private static final long MS_US = 1000;
-    /** When to ask again about a destination that is not out here, ms: by then one of the two has heard more. */
+    /**
+     * Delay before asking again about a destination that is not down here, ms: one of the two couriers has heard more
+     * by then.
+     */
     private static final long ASK_AGAIN_MS = 250;
 
     private final Duty duty;
     private final Terms terms;
     private final Events events;
-    /** When the next trial of a destination may be permitted, us. */
+    /** When the next probe of a destination may be permitted, us. */
     private final Map<Long, Long> nextUs = new HashMap<>();
 
     private OptionalLong token = OptionalLong.empty();
@@ -31,7 +34,7 @@
         this.events = events;
     }
 
-    /** Time has passed; these destinations are out. */
+    /** Handles the passing of time; these destinations are down. */
     void tick(final Moment now, final Set<Long> out) {
         if (holds(now)) {
             nextUs.keySet().retainAll(out);
@@ -39,7 +42,7 @@
         }
     }
 
-    /** Whether the duty is this courier's now; what an earlier trier permitted has run out before this one permits. */
+    /** Whether this courier holds the role now. Permits of an earlier holder have expired before it issues any. */
     private boolean holds(final Moment now) {
         final OptionalLong held = duty.held(now);
         if (!held.equals(token)) {
@@ -58,7 +61,7 @@
         return Math.max(Terms.PERMIT_US, terms.gapUs().applyAsLong(ageUs));
     }
 
-    /** The answer to a courier's ask, or none where the duty is another's. */
+    /** The reply to a request, or none if another courier holds the role. */
     Optional<Words.Answer> answer(final Moment now, final int from, final Words.Ask ask, final Judgement judged) {
         if (!holds(now)) {
             return Optional.empty();
--- a/src/main/java/driftchute/fleet/verdict/Verdicts.java
+++ b/src/main/java/driftchute/fleet/verdict/Verdicts.java
@@ -19,26 +19,29 @@
 import java.util.stream.Collectors;
 
 /**
- * The verdicts of the whole fleet on its destinations, and the trials of those that are out (docs/fleet-verdicts.md).
- * It is told what this courier's own calls show, shares that with the others, and says what all hold together.
+ * The fleet's verdicts on its destinations, and the probes of those that are down (docs/fleet-verdicts.md). Receives
+ * what this courier's own calls show, shares it with the others, and combines all evidence.
  */
 public final class Verdicts implements Part, Rider {
-    /** How often time is looked at while there is trouble, us; and while there is none. */
+    /** Intervals of the periodic work during trouble, us, and otherwise. */
     private static final long TICK_US = 50_000;
 
     private static final long IDLE_US = 1_000_000;
-    /** From one exchange to the next that this courier begins, or is asked for, us: bounds what digests cost. */
+    /**
+     * Minimum intervals between exchanges that this courier starts, and that it answers, us; they bound the cost of
+     * digests.
+     */
     private static final long EXCHANGE_US = 200_000;
 
     private static final long PULL_US = 20_000;
-    /** Reports are renewed so many times before they are stale: some renewals may be lost. */
+    /** Number of renewals of a report before it expires, since some may be lost. */
     private static final int RENEWALS = 4;
-    /** With so many fresh reports of others no more are made: two hold an outage, and one may be withdrawn. */
+    /** With so many fresh reports of others no more are made: two establish an outage, and one may be withdrawn. */
     private static final int ENOUGH = 3;
 
     private static final long MS_US = 1000;
 
-    /** What was last made of a destination; {@code sinceUs} stays the same while the verdict does. */
+    /** The last assessment of a destination. {@code sinceUs} stays the same while the verdict does. */
     private record Shown(Judgement judged, long sinceUs) {}
 
     private final Tier tier;
@@ -55,7 +58,7 @@
     private long pulledUs = Long.MIN_VALUE / 2;
     private long refused;
 
-    /** Nothing known yet; {@code seed} is its only source of chance. */
+    /** Starts without evidence. {@code seed} is the only source of randomness. */
     public Verdicts(final Tier tier, final Terms terms, final Duty duty, final long seed, final Events events) {
         final Random random = new Random(seed);
         this.tier = tier;
@@ -68,8 +71,8 @@
     }
 
     /**
-     * What this courier's calls show, of all its destinations, about every 100 ms; {@link #tick} then sends what is
-     * new. Times are on this process's monotonic clock.
+     * Handles what this courier's calls show about all its destinations, about every 100 ms. {@link #tick} then sends
+     * what is new. Times are on this process's monotonic clock.
      */
     public void reports(final Moment now, final List<Courier.Report> reports) {
         begin(now);
@@ -100,7 +103,7 @@
         acquit(now, destination);
     }
 
-    /** Reports this courier's own trouble, where that is news or due again. */
+    /** Reports this courier's own trouble if that is news or a renewal is due. */
     private void accuse(final Moment now, final long destination, final Own own) {
         final Outage outage = evidence.of(destination);
         final BadReport before = outage.of(tier.self());
@@ -122,7 +125,7 @@
         }
     }
 
-    /** Tells of this courier's own delivered call, where it is later than all that is held against a destination. */
+    /** Reports this courier's own delivered call if it is later than all evidence against the destination. */
     private void acquit(final Moment now, final long destination) {
         final Outage outage = evidence.outages().get(destination);
         final Own own = owns.get(destination);
@@ -196,7 +199,7 @@
         rumours.round(now, out);
     }
 
-    /** Takes in what another courier says, and answers where this one knows better by its own calls. */
+    /** Handles an entry of another courier, and answers it if this courier's own calls contradict it. */
     private void hear(final Moment now, final Entry entry) {
         if (!entry.isTimely(now.wallMs(), terms)) {
             refused++;
@@ -211,7 +214,7 @@
         refresh(now);
     }
 
-    /** Whether a report in this courier's name is later than any that it made, in this process. */
+    /** Whether a report in this courier's name is later than any that this process made. */
     private boolean isForged(final BadReport report) {
         final BadReport mine = evidence.of(report.destination()).of(tier.self());
         return report.madeMs() > Math.max(startedMs, mine == null ? 0 : mine.madeMs());
@@ -261,7 +264,7 @@
         startedMs = startedMs == Long.MIN_VALUE ? now.wallMs() : startedMs;
     }
 
-    /** Judges all anew, and tells of each verdict that changed. */
+    /** Assesses all destinations again and logs each verdict that changed. */
     private void refresh(final Moment now) {
         shown.keySet().stream()
                 .filter(destination -> !evidence.outages().containsKey(destination))
@@ -279,9 +282,9 @@
                     "destination",
                     destination,
                     "from",
-                    from.standing().name(),
+                    from.standing().logName(),
                     "to",
-                    to.standing().name(),
+                    to.standing().logName(),
                     "by",
                     to.by().stream().map(String::valueOf).collect(Collectors.joining(",")),
                     "failed",
@@ -301,7 +304,7 @@
         }
     }
 
-    /** What the couriers hold together now, of each destination that is not well; on this process's clock. */
+    /** The present verdicts on all destinations that are not healthy, on this process's clock. */
     public Map<Long, Courier.Verdict> verdicts(final Moment now) {
         refresh(now);
         final Map<Long, Courier.Verdict> verdicts = new HashMap<>();
@@ -320,7 +323,7 @@
         return now.monoUs() + (wallMs - now.wallMs()) * MS_US;
     }
 
-    /** Entries that were refused: made over a second ahead, too old, or of one destination too many. */
+    /** Number of refused entries: from the future, too old, or for too many destinations. */
     public long refused() {
         return refused;
     }
--- a/src/main/java/driftchute/fleet/verdict/Words.java
+++ b/src/main/java/driftchute/fleet/verdict/Words.java
@@ -5,11 +5,11 @@
 import driftchute.fleet.Varint;
 import java.nio.ByteBuffer;
 
-/** What verdicts say to each other beside their entries. */
+/** The messages of verdicts other than evidence entries. */
 final class Words {
     private Words() {}
 
-    /** The sum of the checksums of all that its sender holds. */
+    /** The sum of the checksums of all entries of its sender. */
     record Digest(int sum) implements Message {
         static final int TYPE = 0x42;
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Asks for a datagram of entries. */
+    /** Requests a datagram of entries. */
     record Pull() implements Message {
         static final int TYPE = 0x43;
 
@@ -55,7 +55,7 @@
         public void write(final ByteBuffer into) {}
     }
 
-    /** A courier with messages for a destination that is out asks for a trial; {@code number} names this ask. */
+    /** Requests a probe of a destination that is down, for waiting messages. {@code number} identifies the request. */
     record Ask(long destination, long number) implements Message {
         static final int TYPE = 0x44;
 
@@ -80,7 +80,10 @@
         }
     }
 
-    /** The trier's answer to that ask under its token: {@code afterMs} is 0 for a permit, or when to ask again, ms. */
+    /**
+     * The reply to that request, under the token of the role's holder. {@code afterMs} is 0 for a permit, otherwise the
+     * delay before the next request, ms.
+     */
     record Answer(long destination, long number, long token, long afterMs) implements Message {
         static final int TYPE = 0x45;
 
--- a/src/test/java/driftchute/fleet/ration/AllocatorTest.java
+++ b/src/test/java/driftchute/fleet/ration/AllocatorTest.java
@@ -24,7 +24,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Whatever wants and reports come: shares in use never sum over what may be leased, and nothing throws. */
+/** For any requests and reports, the shares in use never exceed what may be leased, and nothing throws. */
 class AllocatorTest {
     private static final float[] FIGURES = {0, 1e-30f, 0.5f, 10, 87, 100, 113, 1e9f};
     private static final double[] ABSURD = {Double.NaN, -1, Double.POSITIVE_INFINITY, 1e300, 0, 1e-300, 7, 100};
@@ -32,7 +32,7 @@
     private record Live(int courier, int share, long untilUs) {}
 
     @Property(seed = "18", tries = 300)
-    void sharesOutNeverSumOverWhatMayBeLeased(@ForAll final long seed) {
+    void outstandingSharesNeverExceedWhatMayBeLeased(@ForAll final long seed) {
         final Random random = new Random(seed);
         final Allocator allocator = new Allocator(4, BLOCK);
         final List<Live> live = new ArrayList<>();
@@ -101,7 +101,7 @@
                 try {
                     rations.receive(now, random.nextInt(3), reader.read(body.rewind()), (to, answer) -> {});
                 } catch (final MalformedMessageException | BufferUnderflowException expected) {
-                    // The codec drops what cannot be read.
+                    // The codec drops what cannot be parsed.
                 }
             }
             assertThat(rations.rations(now)).hasSizeLessThanOrEqualTo(Rations.MOST_DESTINATIONS);
--- a/src/test/java/driftchute/fleet/ration/FleetSim.java
+++ b/src/test/java/driftchute/fleet/ration/FleetSim.java
@@ -19,8 +19,8 @@
 import java.util.stream.IntStream;
 
 /**
- * A fleet on a virtual clock and network: couriers with clocks of their own, a duty that one at most holds, and traffic
- * that paces its calls by the ration then valid. Times are true us unless they are named mono.
+ * A fleet on a virtual clock and network: couriers with their own clocks, a role that at most one holds, and traffic
+ * that paces its calls by the valid rate lease. Times are true us unless they are named mono.
  */
 final class FleetSim {
     static final long MS = 1000;
@@ -29,10 +29,10 @@
     private static final long STEP = 5 * MS;
     private static final int CROWD = 1000;
 
-    /** The duty's holder from one moment to another. */
+    /** The role's holder from one time to another. */
     record Term(int holder, long token, long fromUs, long toUs) {}
 
-    /** One courier: its control plane, and for each destination the traffic's state. */
+    /** One courier: its control plane, and the traffic's state for each destination. */
     final class Node implements Duty {
         final int id;
         final double[] arrivals = new double[destinations], waiting = new double[destinations];
@@ -118,7 +118,10 @@
                     .toList();
         }
 
-        /** When the next call may go: by the ration while it is valid, else by the even part of the reserve. */
+        /**
+         * When the next call may be made: by the rate lease while it is valid, otherwise by the even part of the
+         * reserve.
+         */
         private long next(final int i) {
             final Courier.Ration ration = view.get((long) i);
             if (ration != null && !even) {
@@ -172,7 +175,7 @@
         return limits.floorEntry(atUs).getValue();
     }
 
-    /** Does it once time has come and this courier is awake; a process that ended meanwhile never does it. */
+    /** Runs an action at that time once this courier is awake; not if its process has ended meanwhile. */
     private void later(final long atUs, final Runnable act, final Node node) {
         final long bornUs = node.upUs;
         dues.computeIfAbsent(atUs, unused -> new ArrayList<>()).add(() -> {
@@ -194,7 +197,7 @@
         }
     }
 
-    /** Plays up to this moment; {@code faults} acts at the start of each step. */
+    /** Runs until this time; {@code faults} acts at the start of each step. */
     void play(final long untilUs, final Runnable faults) {
         for (; nowUs < untilUs; nowUs += STEP) {
             Arrays.stream(nodes).filter(node -> node.plane == null).forEach(node -> node.start(0));
@@ -214,7 +217,7 @@
         }
     }
 
-    /** All calls at the first destination, in order. */
+    /** All calls to the first destination, in order. */
     List<Long> calls() {
         return Arrays.stream(nodes)
                 .flatMap(node -> node.calls.get(0).stream())
--- a/src/test/java/driftchute/fleet/ration/MaxMinTest.java
+++ b/src/test/java/driftchute/fleet/ration/MaxMinTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.Size;
 
-/** What makes a division max-min fair, for any demands, guarantees and weights. */
+/** The properties of a max-min fair division, for any demands, guarantees and weights. */
 class MaxMinTest {
     private static final double NEAR = 1e-6;
 
@@ -51,7 +51,7 @@
             final MaxMin.Claim mine = claims.get(i);
             assertThat(share[i]).isBetween(kept * Math.min(mine.demand(), mine.guarantee()) - NEAR, mine.demand());
             for (int j = 0; j < share.length; j++) {
-                // One that is short has, by weight, no less than any other that has more than its guarantee.
+                // A share below its demand is, by weight, no less than any other that exceeds its guarantee.
                 assertThat(share[i] >= mine.demand() - NEAR
                                 || share[j] <= claims.get(j).guarantee() + NEAR
                                 || share[j] / claims.get(j).weight() <= share[i] / mine.weight() + NEAR)
--- a/src/test/java/driftchute/fleet/ration/RationsTest.java
+++ b/src/test/java/driftchute/fleet/ration/RationsTest.java
@@ -12,17 +12,17 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Five couriers on a virtual clock with faults of all kinds: the limit holds, is used, and passes on. */
+/** Five couriers on a virtual clock with faults of all kinds: the limit is respected, used, and passed on. */
 class RationsTest {
     private static final int COURIERS = 5;
     private static final long RATION_US = BLOCK.rationMs() * MS;
-    /** An answer's time, a report's and a view's: in which a courier that calls has heard of a limit. */
+    /** The time of an answer, a report and a view: within this a courier that calls has learnt a limit. */
     private static final long HEARD_US = 400 * MS;
 
     private static final int SCHEDULES = 2000;
     private static final int MUTATED = 300;
 
-    /** A schedule with all faults, and demand that comes and goes; the worst second's calls over the bound. */
+    /** A schedule with all faults and varying demand; returns the worst second's calls above the bound. */
     private static double chaos(final long seed, final boolean waits, final long heldLongerUs) {
         final Random random = new Random(seed * 0x9E3779B97F4A7C15L);
         final double limit = List.of(4.0, 20.0, 60.0, 150.0).get(random.nextInt(4));
@@ -74,7 +74,7 @@
         return excess(sim, RATION_US + HEARD_US);
     }
 
-    /** The most that a second's calls were over the highest limit in it or so long before it, with drift and n. */
+    /** The maximum of a second's calls above the highest limit in it or so long before it, with drift and n. */
     private static double excess(final FleetSim sim, final long beforeUs) {
         final List<Long> calls = sim.calls();
         double worst = Double.NEGATIVE_INFINITY;
@@ -116,7 +116,7 @@
                 .isNotEmpty();
     }
 
-    /** The part of the limit that is used where one courier has 60% of the traffic. */
+    /** The part of the limit that is used if one courier has 60% of the traffic. */
     private static double use(final double traffic, final boolean even, final double noise) {
         final FleetSim sim = new FleetSim(7, COURIERS, 1, 50);
         sim.even = even;
@@ -139,7 +139,7 @@
         }
     }
 
-    /** How long after a courier dies for good, 5% loss, the rest use 95% of all that is left to them, us. */
+    /** Time after a courier's permanent failure, with 5% loss, until the others use 95% of what is left to them, us. */
     private static long passedOn(final long seed, final boolean allocatorDies) {
         final FleetSim sim = new FleetSim(seed, COURIERS, 1, 200);
         final long diesUs = 5 * SECOND + sim.random.nextLong(SECOND);
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void theShareOfADeadCourierIsUsedByTheRest() {
+    void theShareOfADeadCourierIsUsedByTheOthers() {
         for (final boolean allocatorDies : new boolean[] {false, true}) {
             final long[] spans = LongStream.range(0, 100)
                     .map(seed -> passedOn(seed, allocatorDies))
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void aLoweredLimitIsInForceWithinHalfARationTimeWhereAllHear() {
+    void aLoweredLimitAppliesWithinHalfALeaseTimeIfAllReceiveIt() {
         assertThat(broken(40, seed -> {
                     final FleetSim sim = new FleetSim(seed, COURIERS, 1, 90);
                     sim.terms.add(new FleetSim.Term(0, 1, 0, Long.MAX_VALUE));
--- a/src/test/java/driftchute/fleet/verdict/LatticeTest.java
+++ b/src/test/java/driftchute/fleet/verdict/LatticeTest.java
@@ -28,7 +28,7 @@
 import net.jqwik.api.Tuple;
 import net.jqwik.api.constraints.IntRange;
 
-/** The state is a join, and what it says follows the rules. Times are small, so that they meet. */
+/** The state is a join semilattice, and its assessment follows the rules. Times are small, so that they coincide. */
 final class LatticeTest {
     private static final int COURIERS = 12;
     private static final Terms TERMS = new Terms(10, 8, 3, 0, Terms::halfTheAge);
@@ -92,7 +92,7 @@
     }
 
     @Property(seed = "18", edgeCases = EdgeCasesMode.NONE)
-    void couriersThatHeardTheSameAgreeWhateverTheOrderAndNumber(
+    void couriersThatReceivedTheSameAgreeWhateverTheOrderAndNumber(
             @ForAll("entries") final List<Entry> heard,
             @ForAll final long seed,
             @ForAll @IntRange(max = 60) final int nowMs) {
@@ -114,7 +114,7 @@
     }
 
     @Property(seed = "18", edgeCases = EdgeCasesMode.NONE)
-    void oneCourierAloneMakesNoOutageAndOlderEvidenceChangesNothing(
+    void oneCourierAloneEstablishesNoOutageAndOlderEvidenceChangesNothing(
             @ForAll("entries") final List<Entry> heard,
             @ForAll("entry") final Entry more,
             @ForAll @IntRange(max = 60) final int nowMs) {
--- a/src/test/java/driftchute/fleet/verdict/VerdictScene.java
+++ b/src/test/java/driftchute/fleet/verdict/VerdictScene.java
@@ -22,19 +22,22 @@
 import java.util.Random;
 import java.util.function.LongPredicate;
 
-/** Couriers on one virtual clock, a network that loses, doubles and reorders, and one destination that goes. */
+/** Couriers on one virtual clock, a network that loses, duplicates and reorders, and one destination that fails. */
 final class VerdictScene {
     static final long DEST = 7;
     static final long MS = 1000;
     static final long SECOND = 1000 * MS;
     private static final long WALL_MS = 1_790_000_000_000L;
-    /** What tips a cold destination; over a call a second, how far apart a lone courier's trials are at most. */
+    /**
+     * The rate that overloads a cold destination; divided by the calls per second, the maximum interval of a lone
+     * courier's probes.
+     */
     private static final double TIPPING = 0.35;
 
     /** An event of the schedule; {@code order} keeps it total. */
     private record Due(long atUs, long order, Runnable act) {}
 
-    /** One term of the duty; {@code courier} -1: nobody. */
+    /** One term of the role; {@code courier} -1: nobody. */
     record Term(long fromUs, int courier, long token) {}
 
     final Random random;
@@ -59,7 +62,7 @@
         due.add(new Due(us, order++, act));
     }
 
-    /** Plays to that moment. */
+    /** Runs until that time. */
     void run(final long untilUs) {
         while (due.peek().atUs <= untilUs) {
             final Due next = due.poll();
@@ -69,7 +72,9 @@
         nowUs = untilUs;
     }
 
-    /** One courier: its plane, a crude model of its traffic (a call each 100 ms at most), and probes. */
+    /**
+     * One courier: its control plane, a simple model of its traffic (at most a call per 100 ms), and membership probes.
+     */
     final class Node implements Duty, Part {
         final int self;
         final boolean traffic;
@@ -134,7 +139,7 @@
             return verdict() == null ? Standing.WELL : verdict().standing();
         }
 
-        /** Whether a permit holds. */
+        /** Whether a permit is valid. */
         boolean mayTry() {
             return standing() == Standing.OUT
                     && verdict().trialUntilUs() != Long.MAX_VALUE
@@ -163,7 +168,7 @@
             at(nowUs + 100 * MS, this::step);
         }
 
-        /** A call that hangs while the destination is out, a second at most. */
+        /** A call that hangs while the destination is down, a second at most. */
         private void call(final long timeOutUs) {
             calling = out.test(nowUs) && nowUs < timeOutUs;
             if (calling) {
@@ -237,7 +242,7 @@
         }
     }
 
-    /** What membership would send, once a second to one courier at random. */
+    /** What membership would send, once a second to one random courier. */
     private record Probe() implements Message {
         @Override
         public int type() {
--- a/src/test/java/driftchute/fleet/verdict/VerdictScheduleTest.java
+++ b/src/test/java/driftchute/fleet/verdict/VerdictScheduleTest.java
@@ -16,17 +16,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Ten couriers, many schedules: how verdicts spread, when none may come, and trials one at a time. */
+/** Ten couriers, many schedules: how verdicts spread, when none may occur, and one probe at a time. */
 final class VerdictScheduleTest {
     private static final long MS = VerdictScene.MS;
     private static final long SECOND = VerdictScene.SECOND;
     private static final int COURIERS = 10;
     private static final int SEEDS = 100;
     private static final int PLAYS = 20;
-    /** The stated bound: two periods of the probes that digests ride on. */
+    /** The stated bound: two periods of the membership probes that carry digests. */
     private static final long BOUND_US = 2 * SECOND;
 
-    /** Plays until the first courier holds that standing, then until all do: the time between. */
+    /** Runs until the first courier has that verdict, then until all have: the time between. */
     private static long spreadUs(final VerdictScene scene, final Standing standing) {
         final long endUs = scene.nowUs + 20 * SECOND;
         long firstUs = -1;
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void nobodyIsSuspectedWhereNothingFailsAndOneCouriersTroubleStaysASuspicion() {
+    void nothingIsSuspectedWithoutFailuresAndOneCouriersTroubleStaysASuspicion() {
         int suspected = 0;
         for (int seed = 0; seed < 20; seed++) {
             final VerdictScene scene = new VerdictScene(seed, COURIERS, COURIERS);
@@ -106,7 +106,7 @@
         assertThat(suspected).as("of 4,000 looks").isBetween(1, 1000);
     }
 
-    /** Plays a hang of 10 s, with at most one permit at any moment; the trials that were made. */
+    /** Runs a hang of 10 s, with at most one permit at any time; returns the number of probes. */
     private static long trialsInAHang(final VerdictScene scene) {
         scene.out = us -> us >= SECOND && us < 11 * SECOND;
         while (scene.nowUs < 11 * SECOND) {
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void trialsAreDealtOutOneAtATimeAndFewerThanHalfOfThoseOfLoneCouriers() {
+    void probesAreAssignedOneAtATimeAndAreFewerThanHalfOfThoseOfLoneCouriers() {
         long dealt = 0;
         long replaced = 0;
         long alone = 0;
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void whereNobodyDealsOutTrialsForTwoLeasesEachCourierMakesItsOwn() {
+    void withoutACoordinatorForTwoLeaseTimesEachCourierProbes() {
         final VerdictScene scene = new VerdictScene(1, COURIERS, COURIERS);
         scene.duty.addAll(List.of(new Term(0, 0, 1), new Term(4 * SECOND, -1, 1), new Term(16 * SECOND, 1, 2)));
         scene.out = us -> us >= SECOND;
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void liesAreBoundedAndLateFailuresOfAnOldOutageStartNoNewOne() {
+    void falseReportsAreBoundedAndLateFailuresOfAnOldOutageStartNoNewOne() {
         final VerdictScene scene = new VerdictScene(1, COURIERS, 0);
         scene.loss = 1;
         final Node node = scene.nodes.get(0);
@@ -207,7 +207,7 @@
     }
 
     @Test
-    void aPermitCountsOnlyForTheLatestAskUnderTheTokenThatIsHeldAndFromItsHolder() {
+    void aPermitCountsOnlyForTheLatestRequestUnderThePresentTokenFromItsHolder() {
         final VerdictScene scene = new VerdictScene(1, COURIERS, 0);
         scene.loss = 1;
         scene.duty.addAll(List.of(new Term(0, 4, 1), new Term(1100 * MS, 5, 2)));
