--- a/src/test/java/driftchute/node/SpeakingWatchTest.java
+++ b/src/test/java/driftchute/node/SpeakingWatchTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A watch that goes on with its empty lines and leaves a change out, with two questions behind it that fail in every
- * way; and failures at the start and across a move. On a clock of the test's own (docs/list-clock.md).
+ * A watch continues with its empty lines but omits a change, and two requests after it fail in every way; also failures
+ * at the start and across a change of address. On a manual clock (docs/list-clock.md).
  */
 @Timeout(300)
 final class SpeakingWatchTest {
@@ -24,10 +24,10 @@
     private static final long EMPTY_LINE_MS = 2000;
     private static final long DRIBBLE_MS = 500;
     private static final String HALF = "{\n \"seq\":42,\n";
-    /** After the answer of a watch: before, at and behind its relief, and that one's answer. */
+    /** Times after the answer of a watch: before, at and after its replacement, and the replacement's answer. */
     private static final List<Long> MOMENTS = List.of(0L, 10L, 700L, 1950L, 2050L, 2440L);
 
-    /** How a question fails. */
+    /** How a request fails. */
     private enum Fail {
         NOTHING,
         HEAD,
@@ -39,7 +39,7 @@
         UNAVAILABLE
     }
 
-    /** An agent whose connections, once it is told so, go on with empty lines at their own pace and tell no change. */
+    /** An agent whose connections, once told so, continue with empty lines and report no change. */
     private static final class Scene implements Watches.Listener, AutoCloseable {
         private final SteppedLoop loop = new SteppedLoop();
         private final AgentOnLoop agent = new AgentOnLoop(loop, this::answer);
@@ -47,7 +47,7 @@
         private final List<String> told = new ArrayList<>();
         private final Deque<Fail> fails = new ArrayDeque<>();
         private boolean changed;
-        /** Whoever is open says nothing any more. */
+        /** No open connection sends anything any more. */
         private boolean silent;
 
         Scene(final Fail... first) {
@@ -111,7 +111,7 @@
             }
         }
 
-        /** After how many ms that is told; two connections are open at most at each address. */
+        /** Time until that is reported, ms; at most two connections are open at each address. */
         long until(final String what, final long mostMs) {
             return loop.until(mostMs, () -> {
                 assertTrue(agent.open() <= 2, agent.open() + " connections");
@@ -119,7 +119,7 @@
             });
         }
 
-        /** The moment is counted from the answer of the first relief. */
+        /** The moment counts from the answer of the first replacement. */
         void pass(final long momentMs) {
             loop.until(RULE_MS, () -> count("same") == 2);
             loop.pass(momentMs);
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void whatItLeavesOutIsToldInTimeThoughTwoQuestionsFail() {
+    void omittedChangesAreReportedInTimeIfTwoRequestsFail() {
         long latestMs = 0;
         final List<String> late = new ArrayList<>();
         for (final long momentMs : MOMENTS) {
@@ -181,9 +181,9 @@
                 List.of(), late, late.size() + " of " + MOMENTS.size() * Fail.values().length * Fail.values().length);
     }
 
-    /** The relief is asked already, and has not said anything yet: it leaves the change out as well. */
+    /** The replacement is requested already and has not answered yet: it omits the change as well. */
     @Test
-    void whatItAndItsReliefLeaveOutIsToldInTime() {
+    void changesOmittedByAWatchAndItsReplacementAreReportedInTime() {
         for (final long momentMs : List.of(2460L, 3010L, 4440L, 4990L)) {
             try (Scene scene = new Scene()) {
                 scene.pass(momentMs);
@@ -195,9 +195,9 @@
         }
     }
 
-    /** A relief that has no answer, where nothing has changed: some question stands long enough for its empty line. */
+    /** A replacement gets no answer and nothing has changed: some request is pending long enough for its empty line. */
     @Test
-    void aQuestionThatFailsBesideAWatchThatSpeaksIsFollowedByOneThatIsAnswered() {
+    void aRequestThatFailsBesideAnActiveWatchIsFollowedByAnAnsweredOne() {
         for (final Fail first : Fail.values()) {
             for (final Fail second : Fail.values()) {
                 try (Scene scene = new Scene()) {
@@ -214,9 +214,9 @@
         }
     }
 
-    /** From the first question of the process on. */
+    /** From the first request of the process on. */
     @Test
-    void whatTheAgentHoldsAtTheStartIsToldInTimeThoughTwoQuestionsFail() {
+    void theAgentsListAtTheStartIsReportedInTimeIfTwoRequestsFail() {
         for (final Fail first : Fail.values()) {
             for (final Fail second : Fail.values()) {
                 try (Scene scene = new Scene(first, second)) {
@@ -228,9 +228,12 @@
         }
     }
 
-    /** The watch is silent, and a question is out or not, as the address changes: it is told 4 s later all the same. */
+    /**
+     * The watch is silent, with or without a pending request, when the address changes: the list is reported 4 s later
+     * all the same.
+     */
     @Test
-    void silenceAcrossAMoveCostsNoTimeAfterIt() {
+    void silenceAcrossAnAddressChangeCostsNoTimeAfterIt() {
         for (final long silentMs : List.of(0L, 2000L, 3200L, 4500L, 5800L)) {
             for (final Fail first : Fail.values()) {
                 for (final Fail second : Fail.values()) {
@@ -251,9 +254,12 @@
         }
     }
 
-    /** A change at the old address and the move in one turn, in either order: it is told, and the new list counts. */
+    /**
+     * A change at the old address and the change of address in one turn, in either order: it is reported, and the new
+     * list counts.
+     */
     @Test
-    void aMoveThatCrossesAnAnswerOfTheOldAddressLosesNeither() {
+    void anAddressChangeThatCoincidesWithAnAnswerLosesNeither() {
         for (final boolean answerFirst : List.of(true, false)) {
             try (Scene scene = new Scene()) {
                 scene.pass(700);
@@ -278,9 +284,9 @@
         }
     }
 
-    /** Two moves before anything is answered, back to where it was; and a move to where it is already. */
+    /** Two changes of address before any answer, back to the first one; and a change to the present address. */
     @Test
-    void movesInOneTurnEndAtTheLaterAddressAndTheSameAddressIsNoMove() {
+    void addressChangesInOneTurnEndAtTheLaterOneAndTheSameAddressIsNoChange() {
         try (Scene scene = new Scene()) {
             scene.pass(700);
             final int asked = scene.agent.requests.size();
--- a/src/test/java/driftchute/node/SpoiltAnswerTest.java
+++ b/src/test/java/driftchute/node/SpoiltAnswerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Answers of endpoints that cannot be read, do not end, or bring more than belongs to them. */
+/** Answers of endpoints that cannot be parsed, do not end, or contain extra bytes. */
 @Timeout(120)
 final class SpoiltAnswerTest {
     @TempDir
@@ -31,7 +31,7 @@
         rig.close();
     }
 
-    /** Hands in an unsafe message that gets this answer, and waits until its connection is closed. */
+    /** Submits an unsafe message that gets this answer, and waits until its connection is closed. */
     private void answerOnceWith(final String raw) throws IOException {
         rig.first.script((request, connection) -> connection.write(raw));
         rig.start();
@@ -41,7 +41,7 @@
                 () -> !rig.first.requests.isEmpty() && rig.first.requests.get(0).connection().ended);
     }
 
-    /** A message that fails leaves a notice; so the notice of a later one shows that this one left none. */
+    /** A message that fails has a notice, so the notice of a later message shows that this one had none. */
     private void assertNoNoticeBefore(final String later) throws IOException {
         rig.first.script((request, connection) -> connection.reset());
         assertEquals(202, rig.handIn(later, "once").status());
@@ -50,26 +50,26 @@
     }
 
     @Test
-    void aFirstLineWith200DeliversThoughItsHeadNeverEnds() throws IOException {
+    void aStatusLineWith200DeliversIfTheHeadNeverEnds() throws IOException {
         answerOnceWith("HTTP/1.1 200 OK\r\nX-Half: ");
         assertNoNoticeBefore("m2");
     }
 
     @Test
-    void aFirstLineWith200DeliversThoughTheRestCannotBeRead() throws IOException {
+    void aStatusLineWith200DeliversIfTheRestIsInvalid() throws IOException {
         answerOnceWith("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
         assertNoNoticeBefore("m2");
     }
 
     @Test
-    void noiseIsAFailedAttemptThatMayHaveRunAndEndsItsConnection() throws IOException {
+    void unreadableBytesAreAFailedAttemptThatMayHaveBeenExecutedAndEndTheConnection() throws IOException {
         answerOnceWith("\u0001\u0002 noise without end");
         rig.await("its notice", () -> rig.noticed("m1", "undeliverable"));
         assertEquals(1, rig.first.requests.size());
     }
 
     @Test
-    void aHeadWithoutEndIsGivenUpLongBeforeTheMessageIs() throws IOException {
+    void anIncompleteHeadTimesOutLongBeforeTheMessageDoes() throws IOException {
         final List<String> bodies = new ArrayList<>();
         rig.first.script((request, connection) -> {
             bodies.add(request.line());
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void whatComesBehindAGoodAnswerNeverAnswersTheNextCall() throws IOException {
+    void bytesAfterAValidAnswerNeverAnswerTheNextCall() throws IOException {
         rig.first.script((request, connection) -> {
             if (rig.first.requests.size() == 1) {
                 connection.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nX-Second: copy\r\n");
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void answersThatAreNotTheLastArePassedOver() throws IOException {
+    void interimAnswersAreSkipped() throws IOException {
         rig.first.script(
                 (request, connection) -> connection.write(
                         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 101 X\r\n"
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void aWaitThatIsNoNumberIsNone() throws IOException {
+    void aWaitThatIsNoNumberIsIgnored() throws IOException {
         rig.first.script((request, connection) -> {
             if (rig.first.requests.size() <= 2) {
                 connection.answer(429, "", "Retry-After: " + (rig.first.requests.size() == 1 ? "Infinity" : "1e300"));
@@ -135,9 +135,9 @@
         rig.await("the third attempt", () -> rig.first.requests.size() == 3);
     }
 
-    /** The head has come whole and says how long to wait; that the rest is cut off does not unsay it. */
+    /** The complete head asks for a wait, which applies although the rest is cut off. */
     @Test
-    void aWaitBindsThoughItsAnswerIsCutOffBehindTheHead() throws IOException {
+    void aWaitAppliesIfItsAnswerIsCutOffAfterTheHead() throws IOException {
         rig.first.script((request, connection) -> {
             connection.write("HTTP/1.1 429 X\r\nRetry-After: 3600\r\nContent-Length: 5\r\n\r\nab");
             connection.reset();
--- a/src/test/java/driftchute/node/SteppedLoop.java
+++ b/src/test/java/driftchute/node/SteppedLoop.java
@@ -11,13 +11,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * An event loop over real sockets, run by the test's own thread, whose time goes on only in steps of the test: what
- * falls due and what comes in between two steps is done before the next. A bound is thus measured on the loop's clock,
- * whatever the machine is busy with.
+ * An event loop over real sockets, run by the test's thread, whose clock advances only in steps of the test: everything
+ * due or received between two steps is handled before the next. So a bound is measured on the loop's clock, however
+ * busy the machine is.
  */
 final class SteppedLoop implements AutoCloseable {
     private static final long STEP_MS = 10;
-    /** Turns with nothing to do, after which nothing is on its way either: loopback sockets hold nothing back. */
+    /** Turns without work after which nothing is in transit either: loopback sockets delay nothing. */
     private static final int IDLE_TURNS = 3;
 
     private static final long ORIGIN_US = TimeUnit.DAYS.toMicros(1);
@@ -43,12 +43,12 @@
         return ORIGIN_US + TimeUnit.NANOSECONDS.toMicros(ticker.nanoTime());
     }
 
-    /** Timers that were set on any other thread: what runs on a loop is not safe there. */
+    /** Number of timers set by other threads, which is not safe for code on a loop. */
     int strangers() {
         return strangers.get();
     }
 
-    /** Does all that is due now and all that has come. */
+    /** Does everything that is due, and handles everything received. */
     void settle() {
         for (int idle = 0; idle < IDLE_TURNS; idle++) {
             if (loop.runNow() > 0) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Goes on until that is so; the result is after how many ms, or that bound if it never was. */
+    /** Advances until the condition holds; returns the time in ms, or the bound if it never did. */
     long until(final long mostMs, final BooleanSupplier condition) {
         settle();
         long passed = 0;
--- a/src/test/java/driftchute/node/UpgradeTest.java
+++ b/src/test/java/driftchute/node/UpgradeTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program started again beside itself: the two are one courier to everybody else. */
+/** The program started again beside itself: to others, the two processes are one courier. */
 @Timeout(120)
 final class UpgradeTest {
     private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -56,7 +56,7 @@
         assertTrue(process.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
     }
 
-    /** Answers come only from a certain moment on. */
+    /** Answers are held back until a certain moment. */
     private AtomicBoolean holdAnswers(final List<FakeServer.Request> held) {
         final AtomicBoolean open = new AtomicBoolean();
         rig.first.script((request, connection) -> {
@@ -69,7 +69,7 @@
         return open;
     }
 
-    /** All messages of a call are delivered. */
+    /** Delivers all messages of a call. */
     private static void accept(final FakeServer.Request request) {
         request.connection()
                 .answer(
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void whatIsOutEndsAtTheOldAndWhatWaitsGoesOnAtTheNewAndNothingGoesTwice() throws Exception {
+    void callsInFlightEndAtTheOldProcessWaitingOnesContinueAtTheNewOneAndNothingIsSentTwice() throws Exception {
         final List<FakeServer.Request> held = new CopyOnWriteArrayList<>();
         final AtomicBoolean open = holdAnswers(held);
         rig.start();
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void newConnectionsAreServedThroughoutByTheOneOrTheOther() throws Exception {
+    void newConnectionsAreServedThroughoutByOneOfTheProcesses() throws Exception {
         rig.start();
         final Process old = rig.startBeside();
         final AtomicBoolean over = new AtomicBoolean();
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void ordersHoldAcrossAnUpgradeWhicheverProcessHeardThem() throws Exception {
+    void ordersApplyAcrossAnUpgradeWhicheverProcessReceivedThem() throws Exception {
         rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
         rig.start();
         final int oldMgmt = rig.mgmtPort();
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void whereTheOldOneIsKilledTheNextTakesUpItsMessagesAsAfterARestart() throws Exception {
+    void ifTheOldProcessIsKilledTheSuccessorResumesItsMessagesAsAfterARestart() throws Exception {
         final List<FakeServer.Request> held = new CopyOnWriteArrayList<>();
         final AtomicBoolean open = holdAnswers(held);
         rig.start();
@@ -197,13 +197,13 @@
     }
 
     @Test
-    void whereTheNextOneDiesTheOldOneServesOnAndALaterOneMayStandBy() throws Exception {
+    void ifTheStandByDiesTheOldProcessServesAndALaterOneMayStandBy() throws Exception {
         rig.start();
         final Process first = rig.startBeside();
         rig.kill();
         assertEquals(202, rig.handIn("m1", "safe").status());
         rig.await("its call", () -> calls("m1") == 1);
-        // The one killed is not the one that serves: the third finds the first.
+        // The killed process is not the serving one: the third finds the first.
         rig.resume(first);
         rig.startBeside();
         Rig.terminate(first);
@@ -213,7 +213,7 @@
     }
 
     @Test
-    void oneUpgradeMayFollowTheOtherAtOnce() throws Exception {
+    void oneUpgradeMayFollowAnotherAtOnce() throws Exception {
         final List<FakeServer.Request> held = new CopyOnWriteArrayList<>();
         final AtomicBoolean open = holdAnswers(held);
         rig.start();
--- a/src/test/java/driftchute/node/WatchesTest.java
+++ b/src/test/java/driftchute/node/WatchesTest.java
@@ -21,13 +21,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The one question that always stands, against an agent that falls silent in every way (docs/list-clock.md). */
+/** The request that is always pending, with an agent that falls silent in every way (docs/list-clock.md). */
 @Timeout(120)
 final class WatchesTest {
     private static final double RULE_S = 6;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** What an agent does with a question. */
+    /** What an agent does with a request. */
     private enum Act {
         ANSWERS,
         SAYS_NOTHING,
@@ -48,7 +48,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** An agent with its script, a question each (the last act goes for all that follow), and what was told. */
+    /** An agent with its script, one act per request (the last act repeats), and the reports received. */
     private final class Agent implements Watches.Listener {
         private final List<String> told = new CopyOnWriteArrayList<>();
         private final FakeServer server = new FakeServer(this::answer);
@@ -123,9 +123,9 @@
         }
     }
 
-    /** The watch falls silent, the question after it fails, and the one after that is answered. */
+    /** The watch falls silent, the next request fails, and the one after that is answered. */
     @Test
-    void afterEverySilenceWhatWasMissedIsActedOnInTime() throws IOException {
+    void afterEverySilenceMissedChangesApplyInTime() throws IOException {
         final List<List<Act>> paths = List.of(
                 List.of(Act.SENDS_A_LINE, Act.SAYS_NOTHING),
                 List.of(Act.SENDS_A_LINE_AND_HALF, Act.SENDS_THE_HEAD),
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void theOldAddressIsHeededUntilTheNewOneAnswers() throws IOException {
+    void theOldAddressIsUsedUntilTheNewOneAnswers() throws IOException {
         final Agent agent = new Agent(Act.SENDS_A_LINE);
         final FakeServer.Connection old = agent.question(1).connection();
         await("its answer", () -> agent.told.contains("same"));
