--- a/src/test/java/driftchute/fleet/verdict/VerdictScheduleTest.java
+++ b/src/test/java/driftchute/fleet/verdict/VerdictScheduleTest.java
@@ -6,7 +6,7 @@
 import driftchute.Courier.CircuitState;
 import driftchute.Courier.TierHealth;
 import driftchute.fleet.Message;
-import driftchute.fleet.Moment;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.verdict.VerdictScene.Node;
 import driftchute.fleet.verdict.VerdictScene.Term;
 import java.util.ArrayList;
@@ -164,7 +164,7 @@
         scene.loss = 1;
         final Node node = scene.nodes.get(0);
         scene.run(SECOND);
-        final Moment now = node.now();
+        final ClockReading now = node.now();
         final long ms = now.wallMs();
         final List<Message> said = new ArrayList<>();
         hear(
@@ -213,7 +213,7 @@
         scene.duty.addAll(List.of(new Term(0, 4, 1), new Term(1100 * MS, 5, 2)));
         final Node node = scene.nodes.get(0);
         scene.run(SECOND);
-        final Moment asked = node.now();
+        final ClockReading asked = node.now();
         final long ms = asked.wallMs();
         hear(node, new BadReport(7, 1, ms, ms, ms, 3, 0), new BadReport(7, 2, ms, ms, ms, 3, 0));
         node.verdicts.reports(asked, List.of(new Courier.DestinationReport(7, 0, 1, 1, CircuitState.CLOSED, 0, Long.MAX_VALUE, 0, 0)));
