--- a/src/main/java/driftchute/fleet/ration/Grant.java
+++ b/src/main/java/driftchute/fleet/ration/LeaseGrant.java
@@ -11,11 +11,11 @@
  * The allocator's answer to the request with that sequence number, under its token. The shares are valid for {@code
  * rationMs} from when the request was sent, on its sender's clock and less the drift.
  */
-record Grant(long seq, long token, int rationMs, List<Portion> portions) implements Message {
+record LeaseGrant(long seq, long token, int leaseMs, List<GrantedShare> shares) implements Message {
     static final int TYPE = 0x31;
 
     /** A share of a destination's limit, and the limit it is based on, calls per second. */
-    record Portion(long destination, int share, float limit) {}
+    record GrantedShare(long destination, int share, float limit) {}
 
     @Override
     public int type() {
@@ -26,8 +26,8 @@
     public int size() {
         return Varint.size(seq)
                 + Varint.size(token)
-                + Varint.size(rationMs)
-                + portions.stream()
+                + Varint.size(leaseMs)
+                + shares.stream()
                         .mapToInt(portion -> Varint.size(portion.destination()) + Short.BYTES + Float.BYTES)
                         .sum();
     }
@@ -36,21 +36,21 @@
     public void write(final ByteBuffer into) {
         Varint.put(into, seq);
         Varint.put(into, token);
-        Varint.put(into, rationMs);
-        for (final Portion portion : portions) {
+        Varint.put(into, leaseMs);
+        for (final GrantedShare portion : shares) {
             Varint.put(into, portion.destination());
             into.putShort((short) portion.share()).putFloat(portion.limit());
         }
     }
 
-    static Grant read(final ByteBuffer body) throws MalformedMessageException {
+    static LeaseGrant read(final ByteBuffer body) throws MalformedMessageException {
         final long seq = Varint.get(body);
         final long token = Varint.get(body);
-        final int rationMs = Want.time(body);
-        final List<Portion> portions = new ArrayList<>();
+        final int rationMs = LeaseRequest.readLeaseMs(body);
+        final List<GrantedShare> portions = new ArrayList<>();
         while (body.hasRemaining()) {
-            portions.add(new Portion(Varint.get(body), body.getShort() & Shares.WHOLE, Want.rate(body)));
+            portions.add(new GrantedShare(Varint.get(body), body.getShort() & LimitShares.WHOLE, LeaseRequest.readRate(body)));
         }
-        return new Grant(seq, token, rationMs, portions);
+        return new LeaseGrant(seq, token, rationMs, portions);
     }
 }
--- a/src/main/java/driftchute/fleet/ration/Shares.java
+++ b/src/main/java/driftchute/fleet/ration/LimitShares.java
@@ -1,11 +1,11 @@
 package driftchute.fleet.ration;
 
 /** Shares of a limit as integers, so that their sums are exact. */
-final class Shares {
+final class LimitShares {
     /** The whole limit. */
     static final int WHOLE = 0xFFFF;
 
-    private Shares() {}
+    private LimitShares() {}
 
     /** The smallest share that is at least this part (0 to 1) of a limit. */
     static int atLeast(final double part) {
--- a/src/main/java/driftchute/fleet/ration/MaxMin.java
+++ b/src/main/java/driftchute/fleet/ration/MaxMinFairness.java
@@ -9,7 +9,7 @@
  * Max-min fair division (Bertsekas and Gallager, Data Networks, 2nd edition, 6.5.2): nobody gets more than it demands,
  * and no share can grow except at the expense of one that is not larger by weight.
  */
-public final class MaxMin {
+public final class MaxMinFairness {
     /**
      * A claim; all three figures are finite and 0 or more.
      *
@@ -32,9 +32,9 @@
     }
 
     /** A point at which a share starts or stops growing as the common level rises. */
-    private record Turn(double level, double slope) {}
+    private record SlopeChange(double level, double slope) {}
 
-    private MaxMin() {}
+    private MaxMinFairness() {}
 
     /** Divides a capacity by demand, with equal weights and without guarantees. */
     public static double[] share(final double capacity, final double[] demand) {
@@ -53,41 +53,41 @@
         if (!(capacity >= 0) || Double.isInfinite(capacity)) {
             throw new IllegalArgumentException("invalid capacity: " + capacity);
         }
-        final double sure = claims.stream().mapToDouble(MaxMin::sure).sum();
-        if (sure >= capacity) {
+        final double guaranteed = claims.stream().mapToDouble(MaxMinFairness::guaranteed).sum();
+        if (guaranteed >= capacity) {
             return claims.stream()
-                    .mapToDouble(claim -> sure == 0 ? 0 : sure(claim) * (capacity / sure))
+                    .mapToDouble(claim -> guaranteed == 0 ? 0 : guaranteed(claim) * (capacity / guaranteed))
                     .toArray();
         }
-        final double level = level(capacity, sure, claims);
+        final double level = level(capacity, guaranteed, claims);
         return claims.stream()
                 .mapToDouble(claim -> Math.min(claim.demand(), Math.max(claim.guarantee(), claim.weight() * level)))
                 .toArray();
     }
 
-    private static double sure(final Claim claim) {
+    private static double guaranteed(final Claim claim) {
         return Math.min(claim.demand(), claim.guarantee());
     }
 
     /** The level up to which all shares are filled; infinite if the capacity satisfies all demand. */
-    private static double level(final double capacity, final double sure, final List<Claim> claims) {
-        final List<Turn> turns = new ArrayList<>();
+    private static double level(final double capacity, final double guaranteed, final List<Claim> claims) {
+        final List<SlopeChange> changes = new ArrayList<>();
         for (final Claim claim : claims) {
-            turns.add(new Turn(sure(claim) / claim.weight(), claim.weight()));
-            turns.add(new Turn(claim.demand() / claim.weight(), -claim.weight()));
+            changes.add(new SlopeChange(guaranteed(claim) / claim.weight(), claim.weight()));
+            changes.add(new SlopeChange(claim.demand() / claim.weight(), -claim.weight()));
         }
-        turns.sort(Comparator.comparingDouble(Turn::level));
-        double filled = sure;
+        changes.sort(Comparator.comparingDouble(SlopeChange::level));
+        double filled = guaranteed;
         double level = 0;
         double slope = 0;
-        for (final Turn turn : turns) {
-            final double reached = filled + slope * (turn.level() - level);
+        for (final SlopeChange change : changes) {
+            final double reached = filled + slope * (change.level() - level);
             if (slope > 0 && reached > capacity) {
                 return level + (capacity - filled) / slope;
             }
             filled = reached;
-            level = turn.level();
-            slope += turn.slope();
+            level = change.level();
+            slope += change.slope();
         }
         return Double.POSITIVE_INFINITY;
     }
--- a/src/main/java/driftchute/fleet/shared/SharedState.java
+++ b/src/main/java/driftchute/fleet/shared/SharedState.java
@@ -9,9 +9,9 @@
 import driftchute.fleet.Tier;
 import driftchute.fleet.lease.RoleLeases;
 import driftchute.fleet.membership.Membership;
-import driftchute.fleet.ration.Rations;
-import driftchute.fleet.verdict.Terms;
-import driftchute.fleet.verdict.Verdicts;
+import driftchute.fleet.ration.RateLeases;
+import driftchute.fleet.verdict.VerdictTiming;
+import driftchute.fleet.verdict.HealthVerdicts;
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongConsumer;
@@ -35,8 +35,8 @@
     private final Tier tier;
     private final Membership membership;
     private final RoleLeases roleLeases;
-    private final Rations rateLeases;
-    private final Verdicts verdicts;
+    private final RateLeases rateLeases;
+    private final HealthVerdicts verdicts;
     private final ControlPlane plane;
 
     /**
@@ -61,15 +61,15 @@
         this.tier = tier;
         membership = new Membership(tier, block.probeMs() * US_PER_MS, seed, incarnation, start, events, storeIncarnation);
         roleLeases = new RoleLeases(tier, ROLE_NAMES, block.leaseMs() * US_PER_MS, block.driftPpm(), seed + 1, start, events);
-        rateLeases = new Rations(tier, block, new RoleLease(roleLeases, ALLOCATOR), seed + 2, events);
-        verdicts = new Verdicts(
+        rateLeases = new RateLeases(tier, block, new RoleLease(roleLeases, ALLOCATOR), seed + 2, events);
+        verdicts = new HealthVerdicts(
                 tier,
-                new Terms(
+                new VerdictTiming(
                         block.staleMs(),
                         guarantees.warmUpUs() / US_PER_MS,
                         block.leaseMs(),
                         block.driftPpm(),
-                        Terms::halfTheAge),
+                        VerdictTiming::halfOfAge),
                 new RoleLease(roleLeases, PROBE_COORDINATOR),
                 seed + 3,
                 events);
@@ -83,8 +83,8 @@
 
     /** Handles what this courier's traffic knows and needs. */
     public void reports(final ClockReading now, final List<Courier.DestinationReport> reports) {
-        rateLeases.reports(now, reports);
-        verdicts.reports(now, reports);
+        rateLeases.onReports(now, reports);
+        verdicts.onReports(now, reports);
     }
 
     /**
@@ -98,7 +98,7 @@
 
     /** The view for the traffic. */
     public Courier.FleetView view(final ClockReading now) {
-        return new Courier.FleetView(reservedShare, rateLeases.rations(now), verdicts.verdicts(now));
+        return new Courier.FleetView(reservedShare, rateLeases.rateLeases(now), verdicts.verdicts(now));
     }
 
     /** Gives up the roles and, if {@code leaves}, tells the others that this courier leaves. */
@@ -133,7 +133,7 @@
                             .orElse("none"));
         }
         return text.append(", rate leases ")
-                .append(rateLeases.rations(now).size())
+                .append(rateLeases.rateLeases(now).size())
                 .append(", verdicts ")
                 .append(verdicts.verdicts(now).size())
                 .toString();
--- a/src/main/java/driftchute/fleet/verdict/Judgement.java
+++ b/src/main/java/driftchute/fleet/verdict/Assessment.java
@@ -13,8 +13,8 @@
  * @param failed number of failed calls of these couriers
  * @param episode the recovery before the outage; 0 if none is known
  */
-record Judgement(
-        TierHealth standing, long sinceMs, long shutMs, long staleMs, List<Integer> by, int failed, long episode) {
+record Assessment(
+        TierHealth health, long sinceMs, long closedUntilMs, long expiresMs, List<Integer> reporters, int failedCalls, long episode) {
     /** There is no evidence against the destination. */
-    static final Judgement WELL = new Judgement(TierHealth.HEALTHY, 0, 0, 0, List.of(), 0, 0);
+    static final Assessment HEALTHY = new Assessment(TierHealth.HEALTHY, 0, 0, 0, List.of(), 0, 0);
 }
--- a/src/main/java/driftchute/fleet/verdict/Entry.java
+++ b/src/main/java/driftchute/fleet/verdict/EvidenceEntry.java
@@ -5,11 +5,11 @@
 import java.util.zip.CRC32C;
 
 /** One piece of evidence, both as state and as a message. */
-sealed interface Entry extends Message permits BadReport, Return {
+sealed interface EvidenceEntry extends Message permits FailureReport, RecoveryEvidence {
     /** The slot of recovery evidence, beside those of the reporters. */
-    int RETURN_SLOT = -1;
+    int RECOVERY_SLOT = -1;
     /** Maximum time that an entry may be ahead of this courier's wall clock, ms. */
-    long AHEAD_MS = 1000;
+    long MAX_AHEAD_MS = 1000;
 
     /** Identifies an entry. Each slot of a destination has at most one. */
     record Key(long destination, int slot) {}
@@ -19,7 +19,7 @@
     int slot();
 
     /** When it was made or observed, wall-clock ms. */
-    long stampMs();
+    long timestampMs();
 
     /** Its key in the state. */
     default Key key() {
@@ -27,8 +27,8 @@
     }
 
     /** True if it is neither too old nor from the future. */
-    default boolean isTimely(final long nowMs, final Terms terms) {
-        return stampMs() <= nowMs + AHEAD_MS && stampMs() >= nowMs - terms.keptMs();
+    default boolean isTimely(final long nowMs, final VerdictTiming terms) {
+        return timestampMs() <= nowMs + MAX_AHEAD_MS && timestampMs() >= nowMs - terms.keptMs();
     }
 
     /** Its contribution to the digest of the state. */
--- a/src/main/java/driftchute/fleet/verdict/BadReport.java
+++ b/src/main/java/driftchute/fleet/verdict/FailureReport.java
@@ -14,18 +14,18 @@
  * @param failed number of failed calls since; 0 withdraws the report
  * @param shutMs until when the destination announced to be closed; 0 if it did not
  */
-record BadReport(long destination, int reporter, long madeMs, long lastMs, long sinceMs, int failed, long shutMs)
-        implements Entry {
+record FailureReport(long destination, int reporter, long createdMs, long lastFailureMs, long sinceMs, int failedCalls, long closedUntilMs)
+        implements EvidenceEntry {
     static final int TYPE = 0x40;
     /** Upper bound of the failure count; higher counts carry no information. */
     static final int MAX_FAILED = 0xFFFF;
     /** Order by version. The other fields only decide between inconsistent reports, to keep the order total. */
-    static final Comparator<BadReport> ORDER = Comparator.comparingLong(BadReport::madeMs)
-            .thenComparingLong(BadReport::lastMs)
-            .thenComparingLong(BadReport::sinceMs)
-            .thenComparingInt(BadReport::failed)
-            .thenComparingLong(BadReport::shutMs)
-            .thenComparingInt(BadReport::reporter);
+    static final Comparator<FailureReport> ORDER = Comparator.comparingLong(FailureReport::createdMs)
+            .thenComparingLong(FailureReport::lastFailureMs)
+            .thenComparingLong(FailureReport::sinceMs)
+            .thenComparingInt(FailureReport::failedCalls)
+            .thenComparingLong(FailureReport::closedUntilMs)
+            .thenComparingInt(FailureReport::reporter);
 
     @Override
     public int slot() {
@@ -33,8 +33,8 @@
     }
 
     @Override
-    public long stampMs() {
-        return madeMs;
+    public long timestampMs() {
+        return createdMs;
     }
 
     @Override
@@ -46,26 +46,26 @@
     public int size() {
         return Varint.size(destination)
                 + Varint.size(reporter)
-                + Varint.size(madeMs)
-                + Varint.size(madeMs - lastMs)
-                + Varint.size(lastMs - sinceMs)
-                + Varint.size(failed)
-                + Varint.size(shutMs);
+                + Varint.size(createdMs)
+                + Varint.size(createdMs - lastFailureMs)
+                + Varint.size(lastFailureMs - sinceMs)
+                + Varint.size(failedCalls)
+                + Varint.size(closedUntilMs);
     }
 
     @Override
     public void write(final ByteBuffer into) {
         Varint.put(into, destination);
         Varint.put(into, reporter);
-        Varint.put(into, madeMs);
-        Varint.put(into, madeMs - lastMs);
-        Varint.put(into, lastMs - sinceMs);
-        Varint.put(into, failed);
-        Varint.put(into, shutMs);
+        Varint.put(into, createdMs);
+        Varint.put(into, createdMs - lastFailureMs);
+        Varint.put(into, lastFailureMs - sinceMs);
+        Varint.put(into, failedCalls);
+        Varint.put(into, closedUntilMs);
     }
 
     /** Reads a report. An announced closing may end at most {@code staleMs} after the report. */
-    static BadReport read(final ByteBuffer body, final int couriers, final long staleMs)
+    static FailureReport read(final ByteBuffer body, final int couriers, final long staleMs)
             throws MalformedMessageException {
         final long destination = Varint.get(body);
         final long reporter = Varint.get(body);
@@ -79,6 +79,6 @@
             throw new MalformedMessageException("invalid report of courier " + reporter + " created " + madeMs + ", last failure "
                     + lastMs + ", since " + sinceMs + ", failed " + failed + ", closed until " + shutMs);
         }
-        return new BadReport(destination, (int) reporter, madeMs, lastMs, sinceMs, (int) failed, shutMs);
+        return new FailureReport(destination, (int) reporter, madeMs, lastMs, sinceMs, (int) failed, shutMs);
     }
 }
--- a/src/main/java/driftchute/fleet/verdict/Words.java
+++ b/src/main/java/driftchute/fleet/verdict/VerdictMessages.java
@@ -6,8 +6,8 @@
 import java.nio.ByteBuffer;
 
 /** The messages of verdicts other than evidence entries. */
-final class Words {
-    private Words() {}
+final class VerdictMessages {
+    private VerdictMessages() {}
 
     /** The sum of the checksums of all entries of its sender. */
     record Digest(int sum) implements Message {
@@ -56,11 +56,11 @@
     }
 
     /** Requests a probe of a destination that is down, for waiting messages. {@code number} identifies the request. */
-    record Ask(long destination, long number) implements Message {
+    record ProbeRequest(long destination, long number) implements Message {
         static final int TYPE = 0x44;
 
-        static Ask read(final ByteBuffer body) throws MalformedMessageException {
-            return new Ask(Varint.get(body), Varint.get(body));
+        static ProbeRequest read(final ByteBuffer body) throws MalformedMessageException {
+            return new ProbeRequest(Varint.get(body), Varint.get(body));
         }
 
         @Override
@@ -84,11 +84,11 @@
      * The reply to that request, under the token of the role's holder. {@code afterMs} is 0 for a permit, otherwise the
      * delay before the next request, ms.
      */
-    record Answer(long destination, long number, long token, long afterMs) implements Message {
+    record ProbeReply(long destination, long number, long token, long afterMs) implements Message {
         static final int TYPE = 0x45;
 
-        static Answer read(final ByteBuffer body) throws MalformedMessageException {
-            return new Answer(Varint.get(body), Varint.get(body), Varint.get(body), Varint.get(body));
+        static ProbeReply read(final ByteBuffer body) throws MalformedMessageException {
+            return new ProbeReply(Varint.get(body), Varint.get(body), Varint.get(body), Varint.get(body));
         }
 
         @Override
--- a/src/main/java/driftchute/fleet/verdict/Terms.java
+++ b/src/main/java/driftchute/fleet/verdict/VerdictTiming.java
@@ -11,7 +11,7 @@
  * @param driftPpm maximum drift between two monotonic clocks, parts per million
  * @param gapUs interval between two permitted probes, us, as a function of the outage's age in us
  */
-public record Terms(int staleMs, long coldMs, int leaseMs, int driftPpm, LongUnaryOperator gapUs) {
+public record VerdictTiming(int staleMs, long warmUpMs, int leaseMs, int driftPpm, LongUnaryOperator probeIntervalUs) {
     /** Validity of a permit, us: several times what it takes to reach the requester and its next decision. */
     static final long PERMIT_US = 500_000;
     /**
@@ -27,15 +27,15 @@
      *
      * @throws IllegalArgumentException for an impossible value
      */
-    public Terms {
-        if (staleMs < 1 || coldMs < 0 || leaseMs < 1 || driftPpm < 0) {
-            throw new IllegalArgumentException("invalid durations of verdicts: stale " + staleMs + " ms, cold " + coldMs + " ms, lease "
+    public VerdictTiming {
+        if (staleMs < 1 || warmUpMs < 0 || leaseMs < 1 || driftPpm < 0) {
+            throw new IllegalArgumentException("invalid durations of verdicts: stale " + staleMs + " ms, cold " + warmUpMs + " ms, lease "
                     + leaseMs + " ms, drift " + driftPpm + " ppm");
         }
     }
 
     /** An interval of half the outage's age, at least 0.5 s and at most 2 s; all in us. */
-    public static long halfTheAge(final long ageUs) {
+    public static long halfOfAge(final long ageUs) {
         return Math.max(MIN_GAP_US, Math.min(MAX_GAP_US, ageUs / 2));
     }
 
@@ -46,11 +46,11 @@
 
     /** How long an entry is kept, ms. */
     long keptMs() {
-        return staleMs + coldMs;
+        return staleMs + warmUpMs;
     }
 
     /** Half of {@code staleMs}: calls from an old outage time out no later than this after its end. */
-    long lateMs() {
+    long lateCallMs() {
         return staleMs / 2;
     }
 }
--- a/src/test/java/driftchute/fleet/ration/AllocatorTest.java
+++ b/src/test/java/driftchute/fleet/ration/AllocatorTest.java
@@ -34,34 +34,34 @@
     @Property(seed = "18", tries = 300)
     void outstandingSharesNeverExceedWhatMayBeLeased(@ForAll final long seed) {
         final Random random = new Random(seed);
-        final Allocator allocator = new Allocator(4, BLOCK);
+        final RateAllocator allocator = new RateAllocator(4, BLOCK);
         final List<Live> live = new ArrayList<>();
         final Map<Long, Long> sentUs = new HashMap<>();
-        final BiConsumer<Integer, Grant> hold = (to, grant) -> grant.portions()
+        final BiConsumer<Integer, LeaseGrant> hold = (to, grant) -> grant.shares()
                 .forEach(portion ->
                         live.add(new Live(to, portion.share(), sentUs.get(4 * grant.seq() + to) + 1_500_000)));
-        allocator.term(0, OptionalLong.of(1));
+        allocator.updateTerm(0, OptionalLong.of(1));
         for (long nowUs = 1_501_500, step = 1; step < 200; nowUs += random.nextInt(200_000), step++) {
             final long atUs = nowUs;
             final int from = random.nextInt(4);
             final long seq = step - random.nextInt(2);
             if (random.nextBoolean()) {
                 sentUs.putIfAbsent(4 * seq + from, atUs);
-                allocator.want(
+                allocator.onRequest(
                         atUs,
                         from,
-                        new Want(
+                        new LeaseRequest(
                                 seq,
                                 1500,
-                                Shares.atLeast(0.2),
-                                List.of(new Want.Ask(9, FIGURES[random.nextInt(8)], FIGURES[random.nextInt(8)]))),
+                                LimitShares.atLeast(0.2),
+                                List.of(new LeaseRequest.Demand(9, FIGURES[random.nextInt(8)], FIGURES[random.nextInt(8)]))),
                         hold);
             }
-            allocator.again(atUs, hold);
+            allocator.grantMore(atUs, hold);
             live.removeIf(each -> each.untilUs() <= atUs);
             final int[] shares = new int[4];
             live.forEach(each -> shares[each.courier()] = Math.max(shares[each.courier()], each.share()));
-            assertThat(shares[0] + shares[1] + shares[2] + shares[3]).isLessThanOrEqualTo((int) (0.8 * Shares.WHOLE));
+            assertThat(shares[0] + shares[1] + shares[2] + shares[3]).isLessThanOrEqualTo((int) (0.8 * LimitShares.WHOLE));
         }
     }
 
@@ -71,11 +71,11 @@
         final FleetSim sim = new FleetSim(seed, 3, 1, 100);
         sim.terms.add(new FleetSim.Term(0, 3, Long.MIN_VALUE, Long.MAX_VALUE));
         sim.nodes[0].upUs = Long.MIN_VALUE;
-        final Rations rations = new Rations(new Tier(0, 3, 1), BLOCK, sim.nodes[0], seed, EventLog.NONE);
+        final RateLeases rations = new RateLeases(new Tier(0, 3, 1), BLOCK, sim.nodes[0], seed, EventLog.NONE);
         final Queue<Message> own = new ArrayDeque<>();
         for (long monoUs = -4_000_000; monoUs < 0; monoUs += 100_000) {
             final ClockReading now = new ClockReading(monoUs, random.nextLong());
-            rations.reports(
+            rations.onReports(
                     now,
                     random.ints(random.nextInt(250), 0, 1500)
                             .mapToObj(id -> new Courier.DestinationReport(
@@ -104,11 +104,11 @@
                     // The codec drops what cannot be parsed.
                 }
             }
-            assertThat(rations.rations(now)).hasSizeLessThanOrEqualTo(Rations.MAX_DESTINATIONS);
-            assertThat(rations.rations(now).values())
+            assertThat(rations.rateLeases(now)).hasSizeLessThanOrEqualTo(RateLeases.MAX_DESTINATIONS);
+            assertThat(rations.rateLeases(now).values())
                     .allMatch(ration -> ration.expiresAtUs() > now.monoUs()
                             && ration.callsPerSecond() >= 0
-                            && ration.callsPerSecond() <= Want.MAX_RATE);
+                            && ration.callsPerSecond() <= LeaseRequest.MAX_RATE);
         }
     }
 }
--- a/src/test/java/driftchute/fleet/ration/FleetSim.java
+++ b/src/test/java/driftchute/fleet/ration/FleetSim.java
@@ -41,7 +41,7 @@
         final List<List<Long>> calls = new ArrayList<>();
         double speed = 1;
         long originUs, upUs, awakeUs, stallUs, lagUs, bytes;
-        Rations rations;
+        RateLeases rations;
         ControlPlane plane;
         private Map<Long, Courier.RateLease> view = Map.of();
 
@@ -57,7 +57,7 @@
             view = Map.of();
             Arrays.fill(lastUs, upUs);
             final Tier tier = new Tier(id, nodes.length, 1);
-            rations = new Rations(tier, BLOCK, this, random.nextLong(), EventLog.NONE, allocators.get());
+            rations = new RateLeases(tier, BLOCK, this, random.nextLong(), EventLog.NONE, allocators.get());
             plane = new ControlPlane(tier, List.of(rations), (to, datagram) -> post(this, nodes[to], datagram));
         }
 
@@ -93,10 +93,10 @@
         private void step() {
             if ((nowUs + id * 15 * MS) % (50 * MS) == 0) {
                 if ((nowUs + id * 15 * MS) % (100 * MS) == 0) {
-                    rations.reports(moment(nowUs), reports());
+                    rations.onReports(moment(nowUs), reports());
                 }
                 plane.tick(moment(nowUs));
-                view = rations.rations(moment(nowUs));
+                view = rations.rateLeases(moment(nowUs));
             }
             for (int i = 0; i < destinations; i++) {
                 waiting[i] = Math.min(CROWD, waiting[i] + (random.nextDouble() < arrivals[i] * STEP / SECOND ? 1 : 0));
@@ -153,7 +153,7 @@
     final int destinations;
     final List<Term> terms = new ArrayList<>();
     final TreeMap<Long, Double> limits = new TreeMap<>();
-    Supplier<Allocator> allocators;
+    Supplier<RateAllocator> allocators;
     long nowUs;
     double loss, twice, noise;
     boolean even;
@@ -164,7 +164,7 @@
     FleetSim(final long seed, final int couriers, final int destinations, final double limit) {
         this.random = new Random(seed);
         this.destinations = destinations;
-        this.allocators = () -> new Allocator(couriers, BLOCK);
+        this.allocators = () -> new RateAllocator(couriers, BLOCK);
         limits.put(0L, limit);
         nodes = new Node[couriers];
         cut = new boolean[couriers][couriers];
--- a/src/test/java/driftchute/fleet/ration/MaxMinTest.java
+++ b/src/test/java/driftchute/fleet/ration/MaxMinTest.java
@@ -21,20 +21,20 @@
             @ForAll @Size(max = 12) final List<@DoubleRange(max = 500) Double> demands,
             @ForAll @Size(12) final List<@DoubleRange(max = 100) Double> guarantees,
             @ForAll @Size(12) final List<@DoubleRange(min = 0.1, max = 10) Double> weights) {
-        final List<MaxMin.Claim> alone =
-                demands.stream().map(demand -> new MaxMin.Claim(demand, 0, 1)).toList();
+        final List<MaxMinFairness.Claim> alone =
+                demands.stream().map(demand -> new MaxMinFairness.Claim(demand, 0, 1)).toList();
         check(
                 capacity,
                 alone,
-                MaxMin.share(
+                MaxMinFairness.share(
                         capacity, demands.stream().mapToDouble(each -> each).toArray()));
-        final List<MaxMin.Claim> claims = IntStream.range(0, demands.size())
-                .mapToObj(i -> new MaxMin.Claim(demands.get(i), guarantees.get(i), weights.get(i)))
+        final List<MaxMinFairness.Claim> claims = IntStream.range(0, demands.size())
+                .mapToObj(i -> new MaxMinFairness.Claim(demands.get(i), guarantees.get(i), weights.get(i)))
                 .toList();
-        check(capacity, claims, MaxMin.share(capacity, claims));
+        check(capacity, claims, MaxMinFairness.share(capacity, claims));
     }
 
-    private static void check(final double capacity, final List<MaxMin.Claim> claims, final double[] share) {
+    private static void check(final double capacity, final List<MaxMinFairness.Claim> claims, final double[] share) {
         final double sure = claims.stream()
                 .mapToDouble(each -> Math.min(each.demand(), each.guarantee()))
                 .sum();
@@ -44,11 +44,11 @@
                         Math.min(
                                 capacity,
                                 claims.stream()
-                                        .mapToDouble(MaxMin.Claim::demand)
+                                        .mapToDouble(MaxMinFairness.Claim::demand)
                                         .sum()),
                         within(NEAR));
         for (int i = 0; i < share.length; i++) {
-            final MaxMin.Claim mine = claims.get(i);
+            final MaxMinFairness.Claim mine = claims.get(i);
             assertThat(share[i]).isBetween(kept * Math.min(mine.demand(), mine.guarantee()) - NEAR, mine.demand());
             for (int j = 0; j < share.length; j++) {
                 // A share below its demand is, by weight, no less than any other that exceeds its guarantee.
--- a/src/test/java/driftchute/fleet/ration/RationsTest.java
+++ b/src/test/java/driftchute/fleet/ration/RationsTest.java
@@ -31,7 +31,7 @@
         sim.twice = random.nextInt(2) * 0.2;
         sim.heldLongerUs = heldLongerUs;
         if (!waits) {
-            sim.allocators = () -> new Allocator(COURIERS, BLOCK) {
+            sim.allocators = () -> new RateAllocator(COURIERS, BLOCK) {
                 @Override
                 long readyUs() {
                     return Long.MIN_VALUE;
--- a/src/test/java/driftchute/fleet/verdict/VerdictScene.java
+++ b/src/test/java/driftchute/fleet/verdict/VerdictScene.java
@@ -79,7 +79,7 @@
         final int self;
         final boolean traffic;
         final long originUs = (1 + random.nextInt(1_000_000)) * SECOND;
-        final Verdicts verdicts;
+        final HealthVerdicts verdicts;
         final ControlPlane plane;
         long stoppedUntilUs, usedUs, nextTrialUs, servedUs, badUs, troubleUs = Long.MAX_VALUE;
         boolean calling;
@@ -90,9 +90,9 @@
             this.self = self;
             this.traffic = traffic;
             final Tier tier = new Tier(self, couriers, 1);
-            verdicts = new Verdicts(
+            verdicts = new HealthVerdicts(
                     tier,
-                    new Terms(10_000, 9_300, 3000, 1000, Terms::halfTheAge),
+                    new VerdictTiming(10_000, 9_300, 3000, 1000, VerdictTiming::halfOfAge),
                     this,
                     random.nextLong(),
                     (name, fields) -> {});
@@ -161,7 +161,7 @@
                     trials += heard || phase == CircuitState.OPEN ? 1 : 0;
                     call(nowUs + SECOND);
                 }
-                verdicts.reports(
+                verdicts.onReports(
                         now(), List.of(new Courier.DestinationReport(DEST, 0, 1, 1, phase, failed, troubleUs, servedUs, 0)));
                 plane.tick(now());
             }
--- a/src/test/java/driftchute/fleet/verdict/VerdictScheduleTest.java
+++ b/src/test/java/driftchute/fleet/verdict/VerdictScheduleTest.java
@@ -169,36 +169,36 @@
         final List<Message> said = new ArrayList<>();
         hear(
                 node,
-                new BadReport(7, 1, ms + 1001, ms, ms, 3, 0),
-                new BadReport(7, 2, ms - 60_000, ms - 60_000, 1, 3, 0));
+                new FailureReport(7, 1, ms + 1001, ms, ms, 3, 0),
+                new FailureReport(7, 2, ms - 60_000, ms - 60_000, 1, 3, 0));
         assertThat(node.verdict()).as("from the future, and of a minute ago").isNull();
         assertThat(node.verdicts.refused()).isEqualTo(2);
-        hear(node, new BadReport(7, 0, ms + 1, ms, ms, 3, 0));
-        node.verdicts.receive(now, 1, new Words.Pull(), (peer, message) -> said.add(message));
+        hear(node, new FailureReport(7, 0, ms + 1, ms, ms, 3, 0));
+        node.verdicts.receive(now, 1, new VerdictMessages.Pull(), (peer, message) -> said.add(message));
         assertThat(node.verdict()).as("in its own name: withdrawn").isNull();
-        assertThat(said).contains(new BadReport(7, 0, ms + 2, ms + 2, ms + 2, 0, 0));
+        assertThat(said).contains(new FailureReport(7, 0, ms + 2, ms + 2, ms + 2, 0, 0));
 
-        hear(node, new BadReport(7, 1, ms, ms - 10, ms - 900, 3, 0));
+        hear(node, new FailureReport(7, 1, ms, ms - 10, ms - 900, 3, 0));
         assertThat(node.standing()).isEqualTo(TierHealth.SUSPECTED);
-        hear(node, new BadReport(7, 1, ms + 3, ms - 10, ms - 900, 3, ms + 5000));
+        hear(node, new FailureReport(7, 1, ms + 3, ms - 10, ms - 900, 3, ms + 5000));
         assertThat(node.standing()).as("told shut").isEqualTo(TierHealth.DOWN);
         assertThat(node.verdict().closedUntilUs()).isEqualTo(now.monoUs() + 5000 * MS);
-        final Return.Seen seen = new Return.Seen(ms, 4);
-        hear(node, new Return(7, seen, seen));
+        final RecoveryEvidence.Delivery seen = new RecoveryEvidence.Delivery(ms, 4);
+        hear(node, new RecoveryEvidence(7, seen, seen));
         assertThat(node.standing()).isEqualTo(TierHealth.RECOVERED);
         assertThat(node.verdict().sinceUs()).isEqualTo(now.monoUs());
         scene.run(4 * SECOND);
         hear(
                 node,
-                new BadReport(7, 2, ms + 2900, ms + 2900, ms - 800, 3, 0),
-                new BadReport(7, 3, ms + 2900, ms + 2900, ms - 800, 3, 0));
+                new FailureReport(7, 2, ms + 2900, ms + 2900, ms - 800, 3, 0),
+                new FailureReport(7, 3, ms + 2900, ms + 2900, ms - 800, 3, 0));
         assertThat(node.standing())
                 .as("calls of the old outage that time out late")
                 .isEqualTo(TierHealth.RECOVERED);
         hear(
                 node,
-                new BadReport(7, 2, ms + 3000, ms + 2900, ms + 1, 3, 0),
-                new BadReport(7, 3, ms + 3000, ms + 2900, ms + 1, 3, 0));
+                new FailureReport(7, 2, ms + 3000, ms + 2900, ms + 1, 3, 0),
+                new FailureReport(7, 3, ms + 3000, ms + 2900, ms + 1, 3, 0));
         assertThat(node.standing()).as("a new outage").isEqualTo(TierHealth.DOWN);
         scene.run(13_990 * MS);
         assertThat(node.standing()).isEqualTo(TierHealth.DOWN);
@@ -215,18 +215,18 @@
         scene.run(SECOND);
         final ClockReading asked = node.now();
         final long ms = asked.wallMs();
-        hear(node, new BadReport(7, 1, ms, ms, ms, 3, 0), new BadReport(7, 2, ms, ms, ms, 3, 0));
-        node.verdicts.reports(asked, List.of(new Courier.DestinationReport(7, 0, 1, 1, CircuitState.CLOSED, 0, Long.MAX_VALUE, 0, 0)));
+        hear(node, new FailureReport(7, 1, ms, ms, ms, 3, 0), new FailureReport(7, 2, ms, ms, ms, 3, 0));
+        node.verdicts.onReports(asked, List.of(new Courier.DestinationReport(7, 0, 1, 1, CircuitState.CLOSED, 0, Long.MAX_VALUE, 0, 0)));
         final List<Message> said = new ArrayList<>();
         node.verdicts.tick(asked, (peer, message) -> said.add(message));
-        assertThat(said).contains(new Words.Ask(7, 1));
+        assertThat(said).contains(new VerdictMessages.ProbeRequest(7, 1));
         scene.run(1200 * MS);
-        node.verdicts.receive(node.now(), 4, new Words.Answer(7, 1, 1, 0), (peer, message) -> {});
-        node.verdicts.receive(node.now(), 5, new Words.Answer(7, 1, 1, 0), (peer, message) -> {});
-        node.verdicts.receive(node.now(), 4, new Words.Answer(7, 1, 2, 0), (peer, message) -> {});
-        node.verdicts.receive(node.now(), 5, new Words.Answer(7, 0, 2, 0), (peer, message) -> {});
+        node.verdicts.receive(node.now(), 4, new VerdictMessages.ProbeReply(7, 1, 1, 0), (peer, message) -> {});
+        node.verdicts.receive(node.now(), 5, new VerdictMessages.ProbeReply(7, 1, 1, 0), (peer, message) -> {});
+        node.verdicts.receive(node.now(), 4, new VerdictMessages.ProbeReply(7, 1, 2, 0), (peer, message) -> {});
+        node.verdicts.receive(node.now(), 5, new VerdictMessages.ProbeReply(7, 0, 2, 0), (peer, message) -> {});
         assertThat(node.verdict().probeUntilUs()).isZero();
-        node.verdicts.receive(node.now(), 5, new Words.Answer(7, 1, 2, 0), (peer, message) -> {});
+        node.verdicts.receive(node.now(), 5, new VerdictMessages.ProbeReply(7, 1, 2, 0), (peer, message) -> {});
         assertThat(node.verdict().probeUntilUs())
                 .as("from the ask, less the drift")
                 .isEqualTo(asked.monoUs() + 500 * MS - 500);
