--- a/src/main/java/driftchute/bench/Adapter.java
+++ b/src/main/java/driftchute/bench/Adapter.java
@@ -20,10 +20,10 @@
 
     private final BufferedReader in;
     private final Writer out;
-    private final StringBuilder reply = new StringBuilder();
-    private final Map<Integer, Host> hosts = new HashMap<>();
-    private final Map<Integer, Host> touched = new TreeMap<>();
-    private final Map<Integer, List<Fields>> sheets = new HashMap<>();
+    private final StringBuilder output = new StringBuilder();
+    private final Map<Integer, Instance> instances = new HashMap<>();
+    private final Map<Integer, Instance> touched = new TreeMap<>();
+    private final Map<Integer, List<Fields>> listTables = new HashMap<>();
     private long nowUs;
     private long line;
 
@@ -47,33 +47,33 @@
     private void handle(final String text) throws IOException {
         final Fields fields = Fields.parse(text, line);
         switch (fields.tag()) {
-            case "batch" -> nowUs = fields.whole("clock");
+            case "batch" -> nowUs = fields.integer("clock");
             case "flush" -> finishBatch();
-            case "sheet" -> readSheet(fields);
-            case "enlist" -> enlist(fields);
+            case "sheet" -> readListTable(fields);
+            case "enlist" -> createInstance(fields);
             case "stop" -> {
-                hosts.remove(instance(fields));
-                touched.remove(instance(fields));
+                instances.remove(instanceNumber(fields));
+                touched.remove(instanceNumber(fields));
             }
             default -> deliver(fields);
         }
     }
 
     private void finishBatch() throws IOException {
-        touched.values().forEach(host -> host.guard(() -> host.control.decide(nowUs)));
+        touched.values().forEach(instance -> instance.runGuarded(() -> instance.control.decide(nowUs)));
         touched.clear();
-        reply.append("yield\n");
-        out.append(reply);
+        output.append("yield\n");
+        out.append(output);
         out.flush();
-        reply.setLength(0);
+        output.setLength(0);
     }
 
-    private static int instance(final Fields fields) {
-        return (int) fields.whole("i");
+    private static int instanceNumber(final Fields fields) {
+        return (int) fields.integer("i");
     }
 
-    private void readSheet(final Fields fields) throws IOException {
-        final long rows = fields.whole("rows");
+    private void readListTable(final Fields fields) throws IOException {
+        final long rows = fields.integer("rows");
         final List<Fields> entries = new ArrayList<>();
         for (long row = 0; row < rows; row++) {
             final String text = in.readLine();
@@ -84,45 +84,45 @@
             }
             entries.add(entry);
         }
-        sheets.put((int) fields.whole("bank"), entries);
+        listTables.put((int) fields.integer("bank"), entries);
     }
 
-    private void enlist(final Fields fields) {
-        final int instance = instance(fields);
-        final Host host = new Host(instance);
-        hosts.put(instance, host);
-        touched.put(instance, host);
+    private void createInstance(final Fields fields) {
+        final int number = instanceNumber(fields);
+        final Instance instance = new Instance(number);
+        instances.put(number, instance);
+        touched.put(number, instance);
         final Courier.Settings settings = SettingsReader.read(fields);
-        host.settings = settings;
+        instance.settings = settings;
         final List<String> reported = List.of(fields.list("feedback.fields"));
-        host.shareField = reported.indexOf("x0");
-        host.limitField = reported.indexOf("x1");
-        host.guard(() -> host.control = new DeliveryPolicy(settings, fields.whole("nonce64", 0), host));
+        instance.shareField = reported.indexOf("x0");
+        instance.limitField = reported.indexOf("x1");
+        instance.runGuarded(() -> instance.control = new DeliveryPolicy(settings, fields.integer("nonce64", 0), instance));
     }
 
     private void deliver(final Fields fields) {
-        final Host host = hosts.get(instance(fields));
-        if (host == null) {
+        final Instance instance = instances.get(instanceNumber(fields));
+        if (instance == null) {
             throw fields.malformed("'" + fields.tag() + "' for an unknown instance");
         }
         final Runnable event =
                 switch (fields.tag()) {
-                    case "endpoints" -> list(host, fields);
-                    case "incoming" -> message(host, fields);
-                    case "returned" -> outcome(host, fields);
+                    case "endpoints" -> list(instance, fields);
+                    case "incoming" -> message(instance, fields);
+                    case "returned" -> outcome(instance, fields);
                     case "expired" -> {
                         final String ref = fields.text("ref");
-                        yield () -> host.control.onWithdrawn(nowUs, ref);
+                        yield () -> instance.control.onWithdrawn(nowUs, ref);
                     }
                     default -> null;
                 };
-        touched.put(host.instance, host);
+        touched.put(instance.number, instance);
         if (event != null) {
-            host.guard(event);
+            instance.runGuarded(event);
         }
     }
 
-    private Runnable list(final Host host, final Fields fields) {
+    private Runnable list(final Instance instance, final Fields fields) {
         final Courier.Update update =
                 switch (fields.text("scope")) {
                     case "incr" -> Courier.Update.CHANGES;
@@ -133,16 +133,16 @@
                 };
         final List<Courier.Endpoint> entries = new ArrayList<>();
         if (update != Courier.Update.LOST) {
-            final List<Fields> rows = sheets.get((int) fields.whole("bank"));
+            final List<Fields> rows = listTables.get((int) fields.integer("bank"));
             if (rows == null) {
                 throw fields.malformed("no list table " + fields.text("bank"));
             }
-            rows.forEach(row -> entries.add(endpoint(host, row)));
+            rows.forEach(row -> entries.add(endpoint(instance, row)));
         }
-        return () -> host.control.onListUpdate(nowUs, update, entries);
+        return () -> instance.control.onListUpdate(nowUs, update, entries);
     }
 
-    private static Courier.Endpoint endpoint(final Host host, final Fields row) {
+    private static Courier.Endpoint endpoint(final Instance instance, final Fields row) {
         final Courier.Condition condition =
                 switch (row.text("condition", "U")) {
                     case "U" -> Courier.Condition.LISTED;
@@ -152,25 +152,25 @@
                 };
         final String kindName = row.text("kind", "");
         int kind = -1;
-        for (int index = 0; index < host.settings.destinationKinds().size(); index++) {
-            if (host.settings.destinationKinds().get(index).name().equals(kindName)) {
+        for (int index = 0; index < instance.settings.destinationKinds().size(); index++) {
+            if (instance.settings.destinationKinds().get(index).name().equals(kindName)) {
                 kind = index;
             }
         }
         return new Courier.Endpoint(
-                row.whole("endpoint"),
+                row.integer("endpoint"),
                 condition,
                 row.text("locality", ""),
                 row.number("power_hint", 0),
                 kind,
-                row.whole("cell", 0));
+                row.integer("cell", 0));
     }
 
-    private Runnable message(final Host host, final Fields fields) {
+    private Runnable message(final Instance instance, final Fields fields) {
         final String className = fields.text("qos", "");
         int classIndex = -1;
-        for (int index = 0; index < host.settings.classes().size(); index++) {
-            if (host.settings.classes().get(index).name().equals(className)) {
+        for (int index = 0; index < instance.settings.classes().size(); index++) {
+            if (instance.settings.classes().get(index).name().equals(className)) {
                 classIndex = index;
             }
         }
@@ -179,8 +179,8 @@
         }
         final String tenantName = fields.text("user_group", "");
         int tenant = -1;
-        for (int index = 0; index < host.settings.tenants().size(); index++) {
-            if (host.settings.tenants().get(index).name().equals(tenantName)) {
+        for (int index = 0; index < instance.settings.tenants().size(); index++) {
+            if (instance.settings.tenants().get(index).name().equals(tenantName)) {
                 tenant = index;
             }
         }
@@ -189,9 +189,9 @@
                 classIndex,
                 tenant,
                 fields.text("object", null),
-                fields.whole("valid_until"),
-                fields.whole("destination", 0));
-        return () -> host.control.onMessage(nowUs, message);
+                fields.integer("valid_until"),
+                fields.integer("destination", 0));
+        return () -> instance.control.onMessage(nowUs, message);
     }
 
     private static Courier.Result result(final Fields fields) {
@@ -208,51 +208,51 @@
         };
     }
 
-    private static Courier.ReportedLimit allowance(final Host host, final Fields fields) {
+    private static Courier.ReportedLimit reportedLimit(final Instance instance, final Fields fields) {
         final String[] values = fields.list("load");
         if (values.length == 0
-                || host.shareField < 0
-                || host.limitField < 0
-                || Math.max(host.shareField, host.limitField) >= values.length) {
+                || instance.shareField < 0
+                || instance.limitField < 0
+                || Math.max(instance.shareField, instance.limitField) >= values.length) {
             return null;
         }
-        return new Courier.ReportedLimit(fields.number(values[host.shareField]), fields.number(values[host.limitField]));
+        return new Courier.ReportedLimit(fields.number(values[instance.shareField]), fields.number(values[instance.limitField]));
     }
 
-    private Runnable outcome(final Host host, final Fields fields) {
+    private Runnable outcome(final Instance instance, final Fields fields) {
         final Courier.Result result = result(fields);
-        final long waitUs = result == Courier.Result.REFUSED ? fields.whole("remark_ms", 0) * US_PER_MS : 0;
+        final long waitUs = result == Courier.Result.REFUSED ? fields.integer("remark_ms", 0) * US_PER_MS : 0;
         final var outcome = new Courier.Outcome(
                 fields.text("ref"),
                 result,
                 fields.flag("complete"),
-                fields.whole("endpoint", 0),
-                fields.whole("duration", 0),
+                fields.integer("endpoint", 0),
+                fields.integer("duration", 0),
                 waitUs,
-                allowance(host, fields));
-        return () -> host.control.onOutcome(nowUs, outcome);
+                reportedLimit(instance, fields));
+        return () -> instance.control.onOutcome(nowUs, outcome);
     }
 
     /** One instance: its decisions and the writer of its actions. */
-    private final class Host implements Courier.Actions {
-        private final int instance;
+    private final class Instance implements Courier.Actions {
+        private final int number;
         private Courier.Settings settings;
         private Courier control;
         private int shareField = -1;
         private int limitField = -1;
 
-        Host(final int instance) {
-            this.instance = instance;
+        Instance(final int instance) {
+            this.number = instance;
         }
 
         /** Runs an event. An exception of the decisions is reported to the simulator with its cause. */
-        void guard(final Runnable event) {
+        void runGuarded(final Runnable event) {
             try {
                 event.run();
             } catch (final RuntimeException e) {
                 final StackTraceElement[] trace = e.getStackTrace();
                 final String where = trace.length > 0 ? " at " + trace[0] : "";
-                act("die")
+                appendAction("die")
                         .append("\twhat=")
                         .append((e + where).replaceAll("\\s+", " "))
                         .append('\n');
@@ -260,13 +260,13 @@
             }
         }
 
-        private StringBuilder act(final String action) {
-            return reply.append(action).append("\ti=").append(instance);
+        private StringBuilder appendAction(final String action) {
+            return output.append(action).append("\ti=").append(number);
         }
 
         @Override
         public void send(final String messageId, final long endpoint, final long timeoutUs) {
-            act("pass_on")
+            appendAction("pass_on")
                     .append("\tref=")
                     .append(messageId)
                     .append("\tpatience=")
@@ -278,21 +278,21 @@
 
         @Override
         public void refuse(final String messageId, final long retryAfterUs) {
-            act("decline").append("\tref=").append(messageId);
+            appendAction("decline").append("\tref=").append(messageId);
             if (retryAfterUs > 0) {
-                reply.append("\tretry_after=").append(retryAfterUs);
+                output.append("\tretry_after=").append(retryAfterUs);
             }
-            reply.append('\n');
+            output.append('\n');
         }
 
         @Override
         public void fail(final String messageId) {
-            act("drop_request").append("\tref=").append(messageId).append('\n');
+            appendAction("drop_request").append("\tref=").append(messageId).append('\n');
         }
 
         @Override
         public void cancel(final String messageId, final int attempt) {
-            act("stop_attempt")
+            appendAction("stop_attempt")
                     .append("\tref=")
                     .append(messageId)
                     .append("\tleg=")
@@ -302,17 +302,17 @@
 
         @Override
         public void closeIdleConnections(final long endpoint) {
-            act("free_links").append("\tendpoint=").append(endpoint).append('\n');
+            appendAction("free_links").append("\tendpoint=").append(endpoint).append('\n');
         }
 
         @Override
         public void followList() {
-            act("follow").append("\ton=1\n");
+            appendAction("follow").append("\ton=1\n");
         }
 
         @Override
         public void wake(final long delayUs) {
-            act("remind").append("\tdelay=").append(delayUs).append("\ttoken=0\n");
+            appendAction("remind").append("\tdelay=").append(delayUs).append("\ttoken=0\n");
         }
     }
 }
--- a/src/main/java/driftchute/bench/Fields.java
+++ b/src/main/java/driftchute/bench/Fields.java
@@ -44,8 +44,8 @@
     }
 
     /** The value as text, or {@code absent} if it is missing. */
-    public String text(final String name, final String absent) {
-        return values.getOrDefault(name, absent);
+    public String text(final String name, final String defaultValue) {
+        return values.getOrDefault(name, defaultValue);
     }
 
     /**
@@ -66,10 +66,10 @@
      *
      * @throws MalformedLineException if it is no integer
      */
-    public long whole(final String name, final long absent) {
+    public long integer(final String name, final long defaultValue) {
         final String value = values.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         try {
             return Long.parseLong(value);
@@ -83,14 +83,14 @@
      *
      * @throws MalformedLineException if it is missing or no integer
      */
-    public long whole(final String name) {
+    public long integer(final String name) {
         text(name);
-        return whole(name, 0);
+        return integer(name, 0);
     }
 
-    double number(final String name, final double absent) {
+    double number(final String name, final double defaultValue) {
         final String value = values.get(name);
-        return value == null ? absent : number(value);
+        return value == null ? defaultValue : number(value);
     }
 
     double number(final String value) {
--- a/src/main/java/driftchute/bench/SettingsReader.java
+++ b/src/main/java/driftchute/bench/SettingsReader.java
@@ -23,7 +23,7 @@
                     default -> Courier.LimitHint.NONE;
                 };
         return new Courier.Settings(
-                (int) fields.whole("balancers", 1),
+                (int) fields.integer("balancers", 1),
                 fields.text("my_zone", ""),
                 fields.text("discovery", "pushed").equals("on_request"),
                 weights,
@@ -37,7 +37,7 @@
 
     private static List<Courier.MessageClass> classes(final Fields fields) {
         final List<Courier.MessageClass> classes = new ArrayList<>();
-        for (int index = 0; index < fields.whole("classes.count", 0); index++) {
+        for (int index = 0; index < fields.integer("classes.count", 0); index++) {
             final String path = "classes." + index + ".";
             final Courier.Effect effect =
                     switch (fields.text(path + "effect", "side_effect")) {
@@ -45,7 +45,7 @@
                         case "token" -> Courier.Effect.KEYED;
                         default -> Courier.Effect.UNSAFE;
                     };
-            final long deadlineUs = fields.whole(path + "deadline", FOREVER_US);
+            final long deadlineUs = fields.integer(path + "deadline", FOREVER_US);
             classes.add(new Courier.MessageClass(
                     fields.text(path + "name", ""),
                     effect,
@@ -53,16 +53,16 @@
                     fields.flag(path + "in_turn"),
                     fields.number(path + "points", 1),
                     fields.number(path + "late_worth", 0),
-                    fields.whole(path + "target", deadlineUs),
+                    fields.integer(path + "target", deadlineUs),
                     deadlineUs,
-                    fields.whole(path + "dedup_window", 0)));
+                    fields.integer(path + "dedup_window", 0)));
         }
         return classes;
     }
 
     private static List<Courier.Tenant> tenants(final Fields fields) {
         final List<Courier.Tenant> tenants = new ArrayList<>();
-        for (int index = 0; index < fields.whole("tenants.count", 0); index++) {
+        for (int index = 0; index < fields.integer("tenants.count", 0); index++) {
             final String path = "tenants." + index + ".";
             tenants.add(new Courier.Tenant(fields.text(path + "name", ""), fields.number(path + "quota_rps", 0)));
         }
@@ -85,21 +85,21 @@
 
     private static Courier.Guarantees guarantees(final Fields fields) {
         return new Courier.Guarantees(
-                fields.whole("guarantees.must_ask_in", FOREVER_US),
+                fields.integer("guarantees.must_ask_in", FOREVER_US),
                 fields.number("guarantees.cold_from", 1),
-                fields.whole("guarantees.cold", 0),
+                fields.integer("guarantees.cold", 0),
                 fields.number("guarantees.tip_multiple", 1),
-                fields.whole("guarantees.order_settle", 0));
+                fields.integer("guarantees.order_settle", 0));
     }
 
     private static Courier.Limits limits(final Fields fields) {
         return new Courier.Limits(
-                (int) fields.whole("extra.calls_out", Integer.MAX_VALUE),
-                (int) fields.whole("limits.max_open", Integer.MAX_VALUE),
-                (int) fields.whole("limits.most_tries", Integer.MAX_VALUE),
+                (int) fields.integer("extra.calls_out", Integer.MAX_VALUE),
+                (int) fields.integer("limits.max_open", Integer.MAX_VALUE),
+                (int) fields.integer("limits.most_tries", Integer.MAX_VALUE),
                 fields.flag("limits.cancel"),
-                fields.whole("limits.idle_close", FOREVER_US),
-                (int) fields.whole("limits.multiplex", 1),
-                fields.flag("limits.retry_after") ? fields.whole("limits.max_retry_after", 0) : 0);
+                fields.integer("limits.idle_close", FOREVER_US),
+                (int) fields.integer("limits.multiplex", 1),
+                fields.flag("limits.retry_after") ? fields.integer("limits.max_retry_after", 0) : 0);
     }
 }
--- a/src/main/java/driftchute/drill/Drill.java
+++ b/src/main/java/driftchute/drill/Drill.java
@@ -41,7 +41,7 @@
     }
 
     /** Reads faults until standard input ends. */
-    static int steer(final java.util.function.Consumer<Fault> relay) throws java.io.IOException {
+    static int readFaults(final java.util.function.Consumer<Fault> relay) throws java.io.IOException {
         final BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.isBlank()) {
@@ -72,7 +72,7 @@
         public Integer call() throws Exception {
             try (TcpRelay relay = new TcpRelay(address(to), seed)) {
                 System.out.println("{\"event\":\"relay\",\"kind\":\"tcp\",\"listen\":\"" + relay.address() + "\"}");
-                return steer(relay::set);
+                return readFaults(relay::set);
             }
         }
     }
@@ -84,7 +84,7 @@
             try (UdpRelay relay = new UdpRelay(address(to), seed)) {
                 System.out.println(
                         "{\"event\":\"relay\",\"kind\":\"udp\",\"listen\":\"127.0.0.1:" + relay.port() + "\"}");
-                return steer(relay::set);
+                return readFaults(relay::set);
             }
         }
     }
--- a/src/main/java/driftchute/drill/Fault.java
+++ b/src/main/java/driftchute/drill/Fault.java
@@ -53,18 +53,18 @@
         } catch (final IllegalArgumentException e) {
             throw new IllegalArgumentException("no such fault: '" + words[0] + "'", e);
         }
-        final boolean figured = kind == Kind.DELAY
+        final boolean takesNumber = kind == Kind.DELAY
                 || kind == Kind.DROP
                 || kind == Kind.LOSS
                 || kind == Kind.DUPLICATE
                 || kind == Kind.REORDER;
-        if (figured != (words.length == 2) || words.length > 2) {
-            throw new IllegalArgumentException("'" + words[0] + "' takes " + (figured ? "one figure" : "none"));
+        if (takesNumber != (words.length == 2) || words.length > 2) {
+            throw new IllegalArgumentException("'" + words[0] + "' takes " + (takesNumber ? "one figure" : "none"));
         }
         try {
             return kind == Kind.DELAY
                     ? new Fault(kind, Long.parseLong(words[1]), 0)
-                    : new Fault(kind, 0, figured ? Double.parseDouble(words[1]) : 0);
+                    : new Fault(kind, 0, takesNumber ? Double.parseDouble(words[1]) : 0);
         } catch (final NumberFormatException e) {
             throw new IllegalArgumentException("not a figure: '" + words[1] + "'", e);
         }
--- a/src/main/java/driftchute/drill/TcpRelay.java
+++ b/src/main/java/driftchute/drill/TcpRelay.java
@@ -19,7 +19,7 @@
  * uses blocking sockets and two threads per connection, for drills and tests with a few hundred connections.
  */
 public final class TcpRelay implements AutoCloseable {
-    private static final int BUFFER = 8192;
+    private static final int BUFFER_BYTES = 8192;
     private final ServerSocket server;
     private final InetSocketAddress to;
     private final Random random;
@@ -87,7 +87,7 @@
 
     /** Copies one direction until it ends. {@code answers}: the direction towards the connecting side. */
     private void pump(final Socket from, final Socket into, final boolean answers) {
-        final byte[] buffer = new byte[BUFFER];
+        final byte[] buffer = new byte[BUFFER_BYTES];
         try {
             final InputStream in = from.getInputStream();
             final OutputStream out = into.getOutputStream();
--- a/src/main/java/driftchute/drill/UdpRelay.java
+++ b/src/main/java/driftchute/drill/UdpRelay.java
@@ -24,12 +24,12 @@
     private static final int MAX = 65_535;
     private final DatagramSocket socket;
     /** The socket that it sends from: its own, or that of the other relay of a pair. */
-    private final DatagramSocket exit;
+    private final DatagramSocket outgoing;
 
     private final InetSocketAddress to;
     private final Random random;
-    private final Set<SocketAddress> cut = ConcurrentHashMap.newKeySet();
-    private final ScheduledExecutorService later = Executors.newSingleThreadScheduledExecutor(work -> {
+    private final Set<SocketAddress> partitioned = ConcurrentHashMap.newKeySet();
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor(work -> {
         final Thread thread = new Thread(work, "relay-later");
         thread.setDaemon(true);
         return thread;
@@ -52,7 +52,7 @@
         this.to = to;
         this.random = new Random(seed);
         this.socket = socket;
-        this.exit = exit == null ? socket : exit;
+        this.outgoing = exit == null ? socket : exit;
         TcpRelay.daemon("udp", this::carry);
     }
 
@@ -85,11 +85,11 @@
 
     /** Drops datagrams from these senders until {@link #heal()}. */
     public void partition(final Set<? extends SocketAddress> senders) {
-        cut.addAll(senders);
+        partitioned.addAll(senders);
     }
 
     public void heal() {
-        cut.clear();
+        partitioned.clear();
     }
 
     private void carry() {
@@ -100,7 +100,7 @@
             } catch (final IOException e) {
                 return;
             }
-            if (!cut.contains(in.getSocketAddress())) {
+            if (!partitioned.contains(in.getSocketAddress())) {
                 pass(new DatagramPacket(in.getData(), in.getLength(), to));
             }
         }
@@ -127,7 +127,7 @@
                 }
             }
             case DELAY -> {
-                later.schedule(() -> send(out), now.delayMs(), TimeUnit.MILLISECONDS);
+                scheduler.schedule(() -> send(out), now.delayMs(), TimeUnit.MILLISECONDS);
                 return;
             }
             default -> {}
@@ -141,7 +141,7 @@
 
     private void send(final DatagramPacket out) {
         try {
-            exit.send(out);
+            outgoing.send(out);
         } catch (final IOException e) {
             // Datagrams may be lost.
         }
@@ -150,6 +150,6 @@
     @Override
     public void close() {
         socket.close();
-        later.shutdownNow();
+        scheduler.shutdownNow();
     }
 }
--- a/src/main/java/driftchute/node/Config.java
+++ b/src/main/java/driftchute/node/Config.java
@@ -146,12 +146,12 @@
             Log.info("fleet: off: " + (peers.isEmpty() ? "no 'peers'" : "'limits.may_tell' does not allow peers"));
             return null;
         }
-        final long couriers = settings.whole("balancers", peers.size());
+        final long couriers = settings.integer("balancers", peers.size());
         if (couriers != peers.size()) {
             throw new IllegalArgumentException("fleet: " + peers.size() + " peers for " + couriers + " couriers");
         }
         return new FleetSettings(
-                address("peer_listen", fields.text("peer_listen")), peers, (int) settings.whole("me", -1), block);
+                address("peer_listen", fields.text("peer_listen")), peers, (int) settings.integer("me", -1), block);
     }
 
     /**
@@ -181,7 +181,7 @@
     }
 
     private static long positive(final Fields fields, final String name, final long absent) {
-        final long value = fields.whole(name, absent);
+        final long value = fields.integer(name, absent);
         if (value < 1) {
             throw fields.malformed("'" + name + "' is at least 1, not " + value);
         }
