--- a/src/test/java/driftchute/node/ListHandoverTest.java
+++ b/src/test/java/driftchute/node/ListHandoverTest.java
@@ -25,15 +25,15 @@
     private Path folder;
 
     private final ScheduledExecutorService speaking = Executors.newSingleThreadScheduledExecutor();
-    private Rig rig;
+    private CourierHarness rig;
 
     /** The old process knows version 42 and its watch stays active; no further request is answered. */
     @BeforeEach
     void startAndGoSilentToOthers() throws IOException {
-        rig = new Rig(folder);
+        rig = new CourierHarness(folder);
         rig.start();
         rig.await("the watch", () -> !rig.watches.isEmpty());
-        rig.change(42, Rig.host("e1", rig.first, "Ready"));
+        rig.change(42, CourierHarness.host("e1", rig.first, "Ready"));
         rig.await("the change", () -> rig.hasLogged("\"seq\":42"));
         rig.platform.script((request, connection) -> {
             if (request.line().startsWith("POST")) {
@@ -60,26 +60,26 @@
     /** The endpoint called by the old process drains, and another one replaces it. */
     private void change() {
         final int from = rig.log.size();
-        final String entries = Rig.host("e1", rig.first, "Terminating") + "," + Rig.host("e2", rig.second, "Ready");
+        final String entries = CourierHarness.host("e1", rig.first, "Terminating") + "," + CourierHarness.host("e2", rig.second, "Ready");
         rig.watches.forEach(watch -> speak(watch, "{\"seq\":43,\"whole\":false,\"hosts\":[" + entries + "]}\n"));
         rig.await("the change", () -> rig.log.stream().skip(from).anyMatch(line -> line.contains("\"seq\":43")));
     }
 
     private void assertGoesByTheChange() throws IOException {
-        assertEquals(202, rig.handIn("m", "safe").status());
+        assertEquals(202, rig.submit("m", "safe").status());
         rig.await("its call", () -> rig.first.requests.size() + rig.second.requests.size() > 0);
         assertEquals(0, rig.first.requests.size(), "a call to what drains");
     }
 
     private static void awaitEnd(final Process process) throws InterruptedException {
-        assertTrue(process.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
     }
 
     @Test
     void aChangeBeforeTheSuccessorStandsByIsKnownToIt() throws Exception {
         change();
         final Process old = rig.startBeside();
-        Rig.terminate(old);
+        CourierHarness.terminate(old);
         awaitEnd(old);
         assertGoesByTheChange();
     }
@@ -88,7 +88,7 @@
     void aChangeAfterTheSuccessorStandsByIsKnownToIt() throws Exception {
         final Process old = rig.startBeside();
         change();
-        Rig.terminate(old);
+        CourierHarness.terminate(old);
         awaitEnd(old);
         assertGoesByTheChange();
     }
@@ -121,8 +121,8 @@
         rig.platform.script((request, connection) -> {
             if (request.line().contains("after=41")) {
                 connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                connection.chunk("{\"seq\":43,\"whole\":false,\"hosts\":[" + Rig.host("e1", rig.first, "Terminating")
-                        + "," + Rig.host("e2", rig.second, "Ready") + "]}\n");
+                connection.chunk("{\"seq\":43,\"whole\":false,\"hosts\":[" + CourierHarness.host("e1", rig.first, "Terminating")
+                        + "," + CourierHarness.host("e2", rig.second, "Ready") + "]}\n");
             }
         });
         // The list as the successor knows it from its configuration.
@@ -132,8 +132,8 @@
         Files.writeString(
                 folder.resolve("state/list"),
                 "{\"from\":\"" + rig.platform.address() + "\",\"seq\":42,\"whole\":true,\"hosts\":["
-                        + Rig.host("e1", rig.first, "Ready") + "]}");
-        Rig.terminate(old);
+                        + CourierHarness.host("e1", rig.first, "Ready") + "]}");
+        CourierHarness.terminate(old);
         awaitEnd(old);
         assertGoesByTheChange();
     }
--- a/src/test/java/driftchute/node/WatchesTest.java
+++ b/src/test/java/driftchute/node/ListWatcherTest.java
@@ -23,7 +23,7 @@
 
 /** The request that is always pending, with an agent that falls silent in every way (docs/list-clock.md). */
 @Timeout(120)
-final class WatchesTest {
+final class ListWatcherTest {
     private static final double RULE_S = 6;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -116,7 +116,7 @@
     }
 
     private static void await(final String what, final BooleanSupplier condition) {
-        final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(Rig.PATIENCE_S);
+        final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(CourierHarness.PATIENCE_S);
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < untilNs, "never came: " + what);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
--- a/src/test/java/driftchute/node/SpoiltAnswerTest.java
+++ b/src/test/java/driftchute/node/MalformedAnswerTest.java
@@ -15,15 +15,15 @@
 
 /** Answers of endpoints that cannot be parsed, do not end, or contain extra bytes. */
 @Timeout(120)
-final class SpoiltAnswerTest {
+final class MalformedAnswerTest {
     @TempDir
     private Path folder;
 
-    private Rig rig;
+    private CourierHarness rig;
 
     @BeforeEach
     void build() throws IOException {
-        rig = new Rig(folder);
+        rig = new CourierHarness(folder);
     }
 
     @AfterEach
@@ -35,7 +35,7 @@
     private void answerOnceWith(final String raw) throws IOException {
         rig.first.script((request, connection) -> connection.write(raw));
         rig.start();
-        assertEquals(202, rig.handIn("m1", "once").status());
+        assertEquals(202, rig.submit("m1", "once").status());
         rig.await(
                 "the end of the connection",
                 () -> !rig.first.requests.isEmpty() && rig.first.requests.get(0).connection().ended);
@@ -44,7 +44,7 @@
     /** A message that fails has a notice, so the notice of a later message shows that this one had none. */
     private void assertNoNoticeBefore(final String later) throws IOException {
         rig.first.script((request, connection) -> connection.reset());
-        assertEquals(202, rig.handIn(later, "once").status());
+        assertEquals(202, rig.submit(later, "once").status());
         rig.await("the later one's notice", () -> rig.noticed(later, "undeliverable"));
         assertEquals(1, rig.notices.size(), rig.notices.toString());
     }
@@ -81,7 +81,7 @@
         });
         rig.start();
         final long startNs = System.nanoTime();
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the next attempt", () -> bodies.size() == 2);
         final double seconds = (System.nanoTime() - startNs) / 1e9;
         assertTrue(seconds < 1.9, "before a silent call's time-out of two seconds: " + seconds);
@@ -97,11 +97,11 @@
             }
         });
         rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await(
                 "the first call's connection to be closed",
                 () -> !rig.first.requests.isEmpty() && rig.first.requests.get(0).connection().ended);
-        assertEquals(202, rig.handIn("m2", "once").status());
+        assertEquals(202, rig.submit("m2", "once").status());
         rig.await("the notice of what failed", () -> rig.noticed("m2", "undeliverable"));
     }
 
@@ -114,7 +114,7 @@
         rig.start();
         for (int round = 1; round <= 3; round++) {
             final int calls = round;
-            assertEquals(202, rig.handIn("m" + round, "once").status());
+            assertEquals(202, rig.submit("m" + round, "once").status());
             rig.await("call " + calls, () -> rig.first.requests.size() == calls);
         }
         assertTrue(rig.first.connections.size() <= 2, "the connection is used again");
@@ -131,7 +131,7 @@
             }
         });
         rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the third attempt", () -> rig.first.requests.size() == 3);
     }
 
@@ -143,13 +143,13 @@
             connection.reset();
         });
         rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await(
                 "its call to be cut off",
                 () -> !rig.first.requests.isEmpty() && rig.first.requests.get(0).connection().ended);
         assertEquals(
                 202,
-                rig.send(Rig.message("brief", "safe").replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: 2500"))
+                rig.send(CourierHarness.message("brief", "safe").replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: 2500"))
                         .status());
         rig.await("its end without a call", () -> rig.noticed("brief", "deferred"));
         assertEquals(1, rig.first.requests.size());
--- a/src/test/java/driftchute/node/ManagementTest.java
+++ b/src/test/java/driftchute/node/ManagementTest.java
@@ -23,11 +23,11 @@
     @TempDir
     private Path folder;
 
-    private Rig rig;
+    private CourierHarness rig;
 
     @BeforeEach
     void build() throws IOException {
-        rig = new Rig(folder);
+        rig = new CourierHarness(folder);
     }
 
     @AfterEach
@@ -43,15 +43,15 @@
         assertTrue(answer.startsWith("ERR ") && answer.indexOf('\n') == answer.length() - 1, answer);
     }
 
-    private Rig.Answer up() throws IOException {
+    private CourierHarness.Answer up() throws IOException {
         return rig.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     }
 
     @Test
     void impossibleCommandsAreAnsweredWithAReason() throws IOException {
         rig.start();
-        assertOk(rig.call("check"));
-        assertOk(rig.call("check\r"));
+        assertOk(rig.command("check"));
+        assertOk(rig.command("check\r"));
         for (final String bad : List.of(
                 "",
                 "chick",
@@ -64,7 +64,7 @@
                 "drain-on now",
                 "CHECK",
                 "x".repeat(100_000))) {
-            assertErr(rig.call(bad));
+            assertErr(rig.command(bad));
         }
         try (Socket half = rig.connectToMgmt()) {
             half.getOutputStream().write("che".getBytes(StandardCharsets.UTF_8));
@@ -86,7 +86,7 @@
                     socket.getOutputStream().write("set-do".getBytes(StandardCharsets.UTF_8));
                 }
             }
-            assertOk(rig.call("check"));
+            assertOk(rig.command("check"));
         } finally {
             for (final Socket socket : silent) {
                 socket.close();
@@ -96,18 +96,18 @@
 
     @Test
     void aDisabledEndpointGetsNothingUntilItIsEnabled() throws Exception {
-        rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
+        rig.hosts = CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
         rig.start();
         rig.await("the watch", () -> rig.watches.size() == 1);
-        assertOk(rig.call("set-down e1"));
-        assertOk(rig.call("set-down e1"));
-        rig.change(42, Rig.host("e1", rig.first, "Gone"));
-        rig.change(43, Rig.host("e1", rig.first, "Ready"));
+        assertOk(rig.command("set-down e1"));
+        assertOk(rig.command("set-down e1"));
+        rig.change(42, CourierHarness.host("e1", rig.first, "Gone"));
+        rig.change(43, CourierHarness.host("e1", rig.first, "Ready"));
         deliver("a", 20);
         rig.killAndRestart();
         deliver("b", 20);
         assertTrue(rig.first.requests.isEmpty(), "the ban holds for the next process too");
-        assertOk(rig.call("set-up e1"));
+        assertOk(rig.command("set-up e1"));
         rig.second.script((request, connection) -> connection.answer(503, ""));
         for (int count = 0; rig.first.requests.isEmpty(); count++) {
             assertTrue(count < 1000, "never used again");
@@ -121,10 +121,10 @@
     @Test
     void waitingMessagesAreSentWhenTheOnlyEndpointIsEnabledAgain() throws IOException {
         rig.start();
-        assertOk(rig.call("set-down e1"));
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertOk(rig.command("set-down e1"));
+        assertEquals(202, rig.submit("m1", "safe").status());
         assertTrue(rig.first.requests.isEmpty());
-        assertOk(rig.call("set-up e1"));
+        assertOk(rig.command("set-up e1"));
         rig.await("the call", () -> rig.first.requests.size() == 1);
     }
 
@@ -133,11 +133,11 @@
         rig.start();
         final Path blocked = folder.resolve("state/orders.next");
         Files.createDirectory(blocked);
-        assertErr(rig.call("set-down e1"));
-        assertErr(rig.call("drain-on"));
+        assertErr(rig.command("set-down e1"));
+        assertErr(rig.command("drain-on"));
         assertEquals(200, up().status(), "what was refused is not in force");
         Files.delete(blocked);
-        assertOk(rig.call("set-down e1"));
+        assertOk(rig.command("set-down e1"));
     }
 
     @Test
@@ -145,29 +145,29 @@
         rig.start();
         try (Socket busy = rig.connect();
                 Socket idle = rig.connect()) {
-            assertEquals(202, Rig.send(busy, Rig.message("before", "safe")).status());
+            assertEquals(202, CourierHarness.send(busy, CourierHarness.message("before", "safe")).status());
             assertEquals(
-                    200, Rig.send(idle, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
-            assertOk(rig.call("drain-on"));
+                    200, CourierHarness.send(idle, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
+            assertOk(rig.command("drain-on"));
             assertEquals(503, up().status(), "at once");
-            final Rig.Answer late = Rig.send(busy, Rig.message("late", "safe"));
+            final CourierHarness.Answer late = CourierHarness.send(busy, CourierHarness.message("late", "safe"));
             assertEquals(202, late.status(), "what has been sent already is taken on");
             assertTrue(late.head().contains("connection: close"), late.head());
             assertEquals(-1, busy.getInputStream().read());
             assertEquals(-1, idle.getInputStream().read(), "an idle connection is closed in the end");
         }
         rig.await("both", () -> rig.first.requests.size() == 2);
-        assertOk(rig.call("check"));
-        assertOk(rig.call("drain-off"));
+        assertOk(rig.command("check"));
+        assertOk(rig.command("drain-off"));
         assertEquals(200, up().status());
-        final Rig.Answer after = rig.handIn("after", "safe");
+        final CourierHarness.Answer after = rig.submit("after", "safe");
         assertFalse(after.head().contains("connection: close"), after.head());
     }
 
     @Test
     void aRestartEndsADrain() throws Exception {
         rig.start();
-        assertOk(rig.call("drain-on"));
+        assertOk(rig.command("drain-on"));
         rig.killAndRestart();
         assertEquals(200, up().status());
     }
@@ -175,7 +175,7 @@
     private void deliver(final String prefix, final int count) throws IOException {
         for (int number = 0; number < count; number++) {
             final String id = prefix + number;
-            assertEquals(202, rig.handIn(id, "safe").status());
+            assertEquals(202, rig.submit(id, "safe").status());
             rig.await(
                     "the call of " + id,
                     () -> java.util.stream.Stream.of(rig.first, rig.second)
--- a/src/test/java/driftchute/node/NoDescriptorTest.java
+++ b/src/test/java/driftchute/node/NoDescriptorTest.java
@@ -83,7 +83,7 @@
 
     @Test
     void theWatchAndTheNoticesContinueOnceADescriptorIsFree() throws IOException {
-        final AgentOnLoop agent = new AgentOnLoop(loop, (request, peer) -> {
+        final FakeServerOnLoop agent = new FakeServerOnLoop(loop, (request, peer) -> {
             if (request.startsWith("POST")) {
                 peer.write("HTTP/1.1 204 X\r\n\r\n");
             } else {
@@ -98,7 +98,7 @@
         assertTrue(loop.until(RULE_MS, () -> told.contains("42")) < RULE_MS);
         // First they are refused, so that all classes that a failure needs are loaded while there are descriptors.
         agent.refuse();
-        agent.peers.forEach(AgentOnLoop.Peer::reset);
+        agent.peers.forEach(FakeServerOnLoop.Peer::reset);
         notices.add(owed("m0"));
         notices.flush();
         pass(OUT_MS);
@@ -106,7 +106,7 @@
         assertTrue(loop.until(RULE_MS, () -> agent.open() == 2 && told.contains("m0")) < RULE_MS);
         told.clear();
         final int asked = agent.requests.size();
-        agent.peers.forEach(AgentOnLoop.Peer::reset);
+        agent.peers.forEach(FakeServerOnLoop.Peer::reset);
         loop.settle();
         takeAll();
         notices.add(owed("m1"));
@@ -117,6 +117,6 @@
         give();
         final long afterMs = loop.until(RULE_MS, () -> told.contains("42") && told.contains("m1"));
         assertTrue(afterMs < RULE_MS, afterMs + " ms: " + told);
-        assertEquals(0, loop.strangers(), "timers set by another thread than the loop's");
+        assertEquals(0, loop.foreignTimers(), "timers set by another thread than the loop's");
     }
 }
--- a/src/test/java/driftchute/node/NodeTest.java
+++ b/src/test/java/driftchute/node/NodeTest.java
@@ -25,11 +25,11 @@
     @TempDir
     private Path folder;
 
-    private Rig rig;
+    private CourierHarness rig;
 
     @BeforeEach
     void build() throws IOException {
-        rig = new Rig(folder);
+        rig = new CourierHarness(folder);
     }
 
     @AfterEach
@@ -58,7 +58,7 @@
         assertEquals(200, rig.send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
         assertEquals(
                 202,
-                rig.send(Rig.message("m1", "keyed", "\u00ff\u0000 any bytes")).status());
+                rig.send(CourierHarness.message("m1", "keyed", "\u00ff\u0000 any bytes")).status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
         final FakeServer.Request call = rig.first.requests.get(0);
         assertEquals("POST /inbox HTTP/1.1", call.line());
@@ -75,7 +75,7 @@
     void aSafeMessageInFlightAtAKillIsSentAgain() throws IOException, InterruptedException {
         rig.first.script((request, connection) -> {});
         rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
         rig.first.script((request, connection) -> connection.answer(200, ""));
         rig.killAndRestart();
@@ -90,11 +90,11 @@
                         < 2;
                 count++) {
             final String id = "more" + count;
-            assertEquals(202, rig.handIn(id, "safe").status());
+            assertEquals(202, rig.submit(id, "safe").status());
             rig.await(id, () -> idsAt(rig.first).contains(id));
         }
         rig.killAndRestart();
-        assertEquals(202, rig.handIn("last", "safe").status());
+        assertEquals(202, rig.submit("last", "safe").status());
         rig.await("the last message", () -> idsAt(rig.first).contains("last"));
         assertEquals(2, idsAt(rig.first).stream().filter("m1"::equals).count(), "delivered, it does not go again");
     }
@@ -103,7 +103,7 @@
     void aKeyedMessageIsSentAgainAfterAKillWithinItsWindow() throws IOException, InterruptedException {
         rig.first.script((request, connection) -> {});
         rig.start();
-        assertEquals(202, rig.handIn("m1", "keyed").status());
+        assertEquals(202, rig.submit("m1", "keyed").status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
         rig.first.script((request, connection) -> connection.answer(200, ""));
         rig.killAndRestart();
@@ -115,7 +115,7 @@
     void aKeyedMessageIsNotSentAgainAfterItsWindow() throws IOException, InterruptedException {
         rig.first.script((request, connection) -> {});
         rig.start();
-        assertEquals(202, rig.handIn("m1", "brief").status());
+        assertEquals(202, rig.submit("m1", "brief").status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
         final long calledNs = rig.first.requests.get(0).atNs();
         rig.kill();
@@ -130,7 +130,7 @@
     void anUnsafeMessageInFlightAtAKillFails() throws IOException, InterruptedException {
         rig.first.script((request, connection) -> {});
         rig.start();
-        assertEquals(202, rig.handIn("m1", "once").status());
+        assertEquals(202, rig.submit("m1", "once").status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
         rig.killAndRestart();
         rig.await("its notice", () -> rig.noticed("m1", "undeliverable"));
@@ -142,7 +142,7 @@
         rig.noticeStatus = 503;
         rig.first.script((request, connection) -> connection.reset());
         rig.start();
-        assertEquals(202, rig.handIn("m1", "once").status());
+        assertEquals(202, rig.submit("m1", "once").status());
         rig.await("two tries", () -> rig.notices.size() >= 2);
         rig.kill();
         final int before = rig.notices.size();
@@ -153,7 +153,7 @@
         rig.await("the one that is confirmed", () -> rig.notices.size() > refused);
         rig.killAndRestart();
         rig.noticeStatus = 503;
-        assertEquals(202, rig.handIn("m2", "once").status());
+        assertEquals(202, rig.submit("m2", "once").status());
         rig.await("the next notice", () -> rig.noticed("m2", "undeliverable"));
         assertFalse(rig.notices.get(rig.notices.size() - 1).contains("m1"), "confirmed is confirmed");
     }
@@ -167,23 +167,23 @@
         try (Socket kept = rig.connect();
                 Socket idle = rig.connect();
                 Socket half = rig.connect()) {
-            assertEquals(202, Rig.send(kept, Rig.message("m1", "safe")).status());
+            assertEquals(202, CourierHarness.send(kept, CourierHarness.message("m1", "safe")).status());
             rig.await("the call", () -> rig.first.requests.size() == 1);
             for (final Socket socket : List.of(idle, half)) {
-                assertEquals(200, Rig.send(socket, UP).status());
+                assertEquals(200, CourierHarness.send(socket, UP).status());
             }
             termNs = System.nanoTime();
             ending = rig.terminate();
             rig.await("its no", () -> statusOfUp() == 503);
-            final Rig.Answer late = Rig.send(kept, Rig.message("m2", "safe"));
+            final CourierHarness.Answer late = CourierHarness.send(kept, CourierHarness.message("m2", "safe"));
             assertEquals(202, late.status(), "an open connection is still served");
             assertTrue(late.head().contains("connection: close"), late.head());
             rig.await("half of the time", () -> System.nanoTime() - termNs > TimeUnit.MILLISECONDS.toNanos(1200));
-            final Rig.Answer refused = Rig.send(half, Rig.message("m3", "safe").replace("Length: 5", "Length: 50"));
+            final CourierHarness.Answer refused = CourierHarness.send(half, CourierHarness.message("m3", "safe").replace("Length: 5", "Length: 50"));
             assertTrue(refused.status() == 503 || refused.status() == 408, "a half request's end: " + refused);
             assertEquals(-1, half.getInputStream().read());
             assertEquals(-1, idle.getInputStream().read(), "in the end an idle connection is closed");
-            assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(ending.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
         }
         final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - termNs);
         assertTrue(tookMs < STOP_LIMIT_MS, "took " + tookMs);
@@ -205,18 +205,18 @@
     void onSigtermAnIdleConnectionIsKeptForTwoSecondsAndWithoutOneNothingIsAwaited() throws Exception {
         rig.start();
         final long quietNs = System.nanoTime();
-        assertTrue(rig.terminate().waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(rig.terminate().waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
         final long quietTookNs = System.nanoTime() - quietNs;
         rig.start();
         try (Socket idle = rig.connect()) {
-            assertEquals(200, Rig.send(idle, UP).status());
+            assertEquals(200, CourierHarness.send(idle, UP).status());
             final long termNs = System.nanoTime();
             final Process ending = rig.terminate();
             assertEquals(-1, idle.getInputStream().read());
             final long keptNs = System.nanoTime() - termNs;
             assertTrue(keptNs >= TimeUnit.SECONDS.toNanos(2), "closed after " + keptNs);
             assertTrue(quietTookNs < keptNs, "with nothing open it took " + quietTookNs);
-            assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(ending.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
         }
     }
 
@@ -235,7 +235,7 @@
             }
         });
         rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the second attempt", () -> closedBefore.size() == 1);
         assertEquals(List.of("m1", "m1"), idsAt(rig.first));
     }
@@ -244,11 +244,11 @@
     void anUnsafeMessageIsSentAgainOnlyIfTheFirstConnectionFailed() throws IOException {
         final FakeServer shut = new FakeServer((request, connection) -> {});
         shut.close();
-        rig.hosts = Rig.host("e0", shut, "Ready");
+        rig.hosts = CourierHarness.host("e0", shut, "Ready");
         rig.start();
-        assertEquals(202, rig.handIn("m1", "once").status());
+        assertEquals(202, rig.submit("m1", "once").status());
         rig.await("the watch", () -> !rig.watches.isEmpty());
-        rig.change(42, Rig.host("e1", rig.first, "Ready"));
+        rig.change(42, CourierHarness.host("e1", rig.first, "Ready"));
         rig.await("another endpoint's call", () -> rig.first.requests.size() == 1);
         assertTrue(rig.notices.isEmpty());
     }
@@ -258,7 +258,7 @@
         rig.first.script((request, connection) -> connection.reset());
         rig.start();
         final long handedNs = System.nanoTime();
-        assertEquals(202, rig.handIn("m1", "once").status());
+        assertEquals(202, rig.submit("m1", "once").status());
         rig.await("its notice", () -> rig.noticed("m1", "undeliverable"));
         assertEquals(1, rig.first.requests.size());
         assertTrue(System.nanoTime() - handedNs < TimeUnit.SECONDS.toNanos(15), "long before its 20 s are up");
@@ -271,10 +271,10 @@
             connection.reset();
         });
         rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
         rig.first.script((request, connection) -> connection.answer(200, ""));
-        assertEquals(202, rig.handIn("m2", "safe").status());
+        assertEquals(202, rig.submit("m2", "safe").status());
         rig.await("the next", () -> idsAt(rig.first).contains("m2"));
         assertEquals(2, rig.first.requests.size());
     }
@@ -284,7 +284,7 @@
         rig.start();
         for (int round = 0; round < 5; round++) {
             final int calls = round + 1;
-            assertEquals(202, rig.handIn("m" + round, "safe").status());
+            assertEquals(202, rig.submit("m" + round, "safe").status());
             rig.await("call " + calls, () -> rig.first.requests.size() == calls);
         }
         assertTrue(rig.first.connections.size() <= 2, "connections: " + rig.first.connections.size());
@@ -293,7 +293,7 @@
     @Test
     void aRequestedWaitAppliesToTheWholeDestination() throws IOException {
         final long waitMs = 1500;
-        rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
+        rig.hosts = CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
         final List<Long> toldNs = new ArrayList<>();
         final List<Long> laterNs = new ArrayList<>();
         final var script =
@@ -311,10 +311,10 @@
         rig.first.script(script);
         rig.second.script(script);
         rig.start();
-        assertEquals(202, rig.handIn("m0", "safe").status());
+        assertEquals(202, rig.submit("m0", "safe").status());
         rig.await("the wait", () -> !toldNs.isEmpty());
         for (int count = 1; count < 5; count++) {
-            assertEquals(202, rig.handIn("m" + count, "safe").status());
+            assertEquals(202, rig.submit("m" + count, "safe").status());
         }
         rig.await("what waited", () -> !laterNs.isEmpty());
         final long tookMs = TimeUnit.NANOSECONDS.toMillis(laterNs.get(0) - toldNs.get(0));
@@ -325,7 +325,7 @@
      * Starts with an endpoint that accepts nothing yet: messages submitted meanwhile are sent together once it does.
      */
     private void startHeldBack() throws IOException {
-        rig.hosts = Rig.host("e1", rig.first, "Terminating");
+        rig.hosts = CourierHarness.host("e1", rig.first, "Terminating");
         rig.start();
         rig.await("the watch", () -> !rig.watches.isEmpty());
     }
@@ -347,9 +347,9 @@
         });
         startHeldBack();
         for (final String id : List.of("off", "ok", "bad", "old")) {
-            assertEquals(202, rig.handIn(id, "brief").status());
+            assertEquals(202, rig.submit(id, "brief").status());
         }
-        rig.change(42, Rig.host("e1", rig.first, "Ready"));
+        rig.change(42, CourierHarness.host("e1", rig.first, "Ready"));
         rig.await(
                 "all ends",
                 () -> rig.noticed("bad", "deferred")
@@ -371,11 +371,11 @@
     void aMessageWhoseDeadlinePassesEndsItsCallAndTheOthersAreSentAgain() throws IOException {
         rig.first.script((request, connection) -> {});
         startHeldBack();
-        assertEquals(202, rig.handIn("patient", "safe").status());
+        assertEquals(202, rig.submit("patient", "safe").status());
         assertEquals(
                 202,
-                rig.send(Rig.message("hasty", "brief").replace("20000", "4000")).status());
-        rig.change(42, Rig.host("e1", rig.first, "Ready"));
+                rig.send(CourierHarness.message("hasty", "brief").replace("20000", "4000")).status());
+        rig.change(42, CourierHarness.host("e1", rig.first, "Ready"));
         rig.await("the call", () -> rig.first.requests.size() == 1);
         final FakeServer.Request call = rig.first.requests.get(0);
         assertTrue(call.text().contains("patient") && call.text().contains("hasty"), call.text());
@@ -390,21 +390,21 @@
 
     @Test
     void nothingNewGoesToAnEndpointThatDrains() throws IOException {
-        rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
+        rig.hosts = CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
         rig.start();
         rig.await("the watch", () -> !rig.watches.isEmpty());
         // Indented and in pieces: a list may come on several lines and in several reads.
         final String list = "{\n  \"seq\":42,\n\n  \"whole\":false,\n  \"hosts\":[\n    "
-                + Rig.host("e1", rig.first, "Terminating").replace(",", ",\n      ") + "]\n}\n";
+                + CourierHarness.host("e1", rig.first, "Terminating").replace(",", ",\n      ") + "]\n}\n";
         rig.watches.get(0).chunk(list.substring(0, 30));
         rig.watches.get(0).chunk(list.substring(30));
-        rig.change(43, Rig.host("e3", rig.first, "Gone"));
-        assertEquals(202, rig.handIn("warm", "safe").status());
+        rig.change(43, CourierHarness.host("e3", rig.first, "Gone"));
+        assertEquals(202, rig.submit("warm", "safe").status());
         rig.await("the news to have been read", () -> rig.second.requests.size() + rig.first.requests.size() == 1);
         final int before = rig.first.requests.size();
         for (int round = 0; round < 6; round++) {
             final int calls = round + 2;
-            assertEquals(202, rig.handIn("m" + round, "safe").status());
+            assertEquals(202, rig.submit("m" + round, "safe").status());
             rig.await("call " + calls, () -> rig.second.requests.size() + rig.first.requests.size() == calls);
         }
         assertEquals(before, rig.first.requests.size());
@@ -425,9 +425,9 @@
         rig.start();
         rig.await("the watch", () -> rig.watches.size() == 1);
         assertTrue(rig.platform.requests.get(0).line().contains("after=41"));
-        rig.change(42, Rig.host("e2", rig.second, "Ready"));
-        rig.change(43, Rig.host("e1", rig.first, "Gone"));
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        rig.change(42, CourierHarness.host("e2", rig.second, "Ready"));
+        rig.change(43, CourierHarness.host("e1", rig.first, "Gone"));
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the call", () -> rig.second.requests.size() + rig.first.requests.size() == 1);
         rig.watches.get(0).reset();
         rig.await("the next watch", () -> rig.watches.size() == 2);
@@ -449,7 +449,7 @@
         rig.await("the watch", () -> rig.watches.size() == 1);
         rig.watches.get(0).chunk("{\"seq\":42,\"hosts\":[{\"host\":\"e9\"\n");
         rig.await("the next watch", () -> rig.watches.size() == 2);
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
     }
 
@@ -458,7 +458,7 @@
     @Test
     void invalidRequestsAreAnsweredAndNotAccepted() throws IOException {
         rig.start();
-        final String good = Rig.message("bad", "keyed");
+        final String good = CourierHarness.message("bad", "keyed");
         final List<String> bad = List.of(
                 "what is this\r\n\r\n",
                 good.replace("POST /keyed", "POST /unheard"),
@@ -472,7 +472,7 @@
                 good.replace("Idempotency-Key: key-bad\r\n", ""),
                 good.replace("Length: 5", "Length: -5"),
                 good.replace("Length: 5", "Length: 99999999999999999999"),
-                Rig.message("bad", "keyed", "x".repeat((1 << 16) + 1)),
+                CourierHarness.message("bad", "keyed", "x".repeat((1 << 16) + 1)),
                 "GET /" + "x".repeat(20_000) + " HTTP/1.1\r\n\r\n",
                 good.replace("Host: backend.local", "Host: " + "x".repeat(20_000)));
         for (final String raw : bad) {
@@ -485,7 +485,7 @@
             half.getOutputStream()
                     .write(good.substring(0, good.length() - 2).getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
         }
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the good one", () -> rig.first.requests.size() == 1);
         assertEquals(List.of("m1"), idsAt(rig.first));
         assertTrue(rig.notices.isEmpty());
@@ -495,7 +495,7 @@
     void theLargestBodyIsTaken() throws IOException {
         rig.start();
         assertEquals(
-                202, rig.send(Rig.message("m1", "safe", "x".repeat(1 << 16))).status());
+                202, rig.send(CourierHarness.message("m1", "safe", "x".repeat(1 << 16))).status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
         assertEquals(1 << 16, rig.first.requests.get(0).body().length);
     }
@@ -505,10 +505,10 @@
         rig.start();
         try (Socket socket = rig.connect()) {
             final String three =
-                    Rig.message("m1", "safe") + "GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + Rig.message("m2", "unheard");
-            assertEquals(202, Rig.send(socket, three).status());
-            assertEquals(200, Rig.read(socket.getInputStream()).status());
-            assertEquals(404, Rig.read(socket.getInputStream()).status());
+                    CourierHarness.message("m1", "safe") + "GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + CourierHarness.message("m2", "unheard");
+            assertEquals(202, CourierHarness.send(socket, three).status());
+            assertEquals(200, CourierHarness.read(socket.getInputStream()).status());
+            assertEquals(404, CourierHarness.read(socket.getInputStream()).status());
         }
     }
 
@@ -516,8 +516,8 @@
     void anOpenIdIsNotAcceptedTwice() throws IOException {
         rig.first.script((request, connection) -> {});
         rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        assertEquals(409, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
+        assertEquals(409, rig.submit("m1", "safe").status());
     }
 
     @Test
@@ -527,7 +527,7 @@
         rig.start();
         final List<Integer> statuses = new ArrayList<>();
         for (int count = 0; count < 8; count++) {
-            final Rig.Answer answer = rig.handIn("m" + count, "once");
+            final CourierHarness.Answer answer = rig.submit("m" + count, "once");
             statuses.add(answer.status());
             assertTrue(answer.status() == 202 || answer.head().contains("retry-after"), answer.head());
         }
@@ -543,7 +543,7 @@
         rig.start();
         final List<Integer> statuses = new ArrayList<>();
         for (int count = 0; count < 20; count++) {
-            statuses.add(rig.send(Rig.message("m" + count, "once", "x".repeat(50_000)))
+            statuses.add(rig.send(CourierHarness.message("m" + count, "once", "x".repeat(50_000)))
                     .status());
         }
         assertEquals(202, statuses.get(0));
@@ -557,7 +557,7 @@
         rig.extraSetting = "\"step\":5000,\"goal\":{\"whole\":0.5}";
         rig.maxOpen = 0;
         final Process process = rig.launch();
-        assertTrue(process.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(1, process.exitValue());
         rig.await("its line", () -> !rig.log.isEmpty());
         assertEquals(1, rig.log.size(), rig.log.toString());
@@ -566,9 +566,9 @@
 
     @Test
     void anInvalidListPreventsTheStartToo() throws IOException, InterruptedException {
-        rig.hosts = Rig.host("e1", "nowhere", "Ready");
+        rig.hosts = CourierHarness.host("e1", "nowhere", "Ready");
         final Process process = rig.launch();
-        assertTrue(process.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(1, process.exitValue());
         rig.await("its line", () -> !rig.log.isEmpty());
         assertTrue(rig.log.get(0).contains("'dial' is no address: 'nowhere'"), rig.log.toString());
--- a/src/test/java/driftchute/node/NoticeCrossingTest.java
+++ b/src/test/java/driftchute/node/NoticeCrossingTest.java
@@ -21,12 +21,12 @@
 
     private final SteppedLoop loop = new SteppedLoop();
     private final List<String> confirmed = new ArrayList<>();
-    private AgentOnLoop platform;
+    private FakeServerOnLoop platform;
     private NoticeSender notices;
 
-    private void begin(final BiConsumer<String, AgentOnLoop.Peer> script) {
+    private void begin(final BiConsumer<String, FakeServerOnLoop.Peer> script) {
         confirmed.clear();
-        platform = new AgentOnLoop(loop, script);
+        platform = new FakeServerOnLoop(loop, script);
         notices = new NoticeSender(platform.address(), loop.mine(), heard -> heard.forEach(held -> confirmed.add(held.id)));
     }
 
@@ -107,7 +107,7 @@
     @Test
     void anAddressChangeDuringAFailedConnectSendsToTheNewAddress() throws IOException {
         begin((request, peer) -> peer.write(CONFIRMED));
-        final AgentOnLoop moved = new AgentOnLoop(loop, (request, peer) -> peer.write(CONFIRMED));
+        final FakeServerOnLoop moved = new FakeServerOnLoop(loop, (request, peer) -> peer.write(CONFIRMED));
         // All classes that a failure needs are loaded while there are descriptors.
         owe("m0");
         notices.flush();
@@ -140,6 +140,6 @@
         assertTrue(untilConfirmed(List.of("m1")) < RULE_MS);
         assertEquals(List.of("m0", "m1"), confirmed);
         assertEquals(1, moved.requests.size());
-        assertEquals(0, loop.strangers(), "timers set by another thread than the loop's");
+        assertEquals(0, loop.foreignTimers(), "timers set by another thread than the loop's");
     }
 }
--- a/src/test/java/driftchute/node/NoticesTest.java
+++ b/src/test/java/driftchute/node/NoticeSenderTest.java
@@ -14,17 +14,17 @@
 
 /** Notices arrive within 0.3 s of what delays them, on a manual clock, and each is confirmed once. */
 @Timeout(60)
-final class NoticesTest {
+final class NoticeSenderTest {
     private static final long RULE_MS = 300;
     private static final String CONFIRMED = "HTTP/1.1 204 X\r\n\r\n";
 
     private final SteppedLoop loop = new SteppedLoop();
     private final List<String> confirmed = new ArrayList<>();
-    private AgentOnLoop platform;
+    private FakeServerOnLoop platform;
     private NoticeSender notices;
 
-    private void begin(final BiConsumer<String, AgentOnLoop.Peer> script) {
-        platform = new AgentOnLoop(loop, script);
+    private void begin(final BiConsumer<String, FakeServerOnLoop.Peer> script) {
+        platform = new FakeServerOnLoop(loop, script);
         notices = new NoticeSender(platform.address(), loop.mine(), heard -> heard.forEach(held -> confirmed.add(held.id)));
     }
 
@@ -51,7 +51,7 @@
     /** The first connections fail in every way. */
     @Test
     void aDeadConnectionDelaysNoNoticeTooLong() {
-        final List<BiConsumer<String, AgentOnLoop.Peer>> ways = List.of(
+        final List<BiConsumer<String, FakeServerOnLoop.Peer>> ways = List.of(
                 (request, peer) -> {},
                 (request, peer) -> peer.write("HTTP/1.1 2"),
                 (request, peer) -> peer.reset(),
@@ -157,7 +157,7 @@
     void anAddressChangeWithAnUnansweredBatchIsConfirmedByTheNewAddress() {
         for (final boolean late : List.of(true, false)) {
             begin((request, peer) -> {});
-            final AgentOnLoop moved = new AgentOnLoop(loop, (request, peer) -> peer.write(CONFIRMED));
+            final FakeServerOnLoop moved = new FakeServerOnLoop(loop, (request, peer) -> peer.write(CONFIRMED));
             owe("m1");
             notices.flush();
             loop.settle();
--- a/src/test/java/driftchute/node/OrdersLockTest.java
+++ b/src/test/java/driftchute/node/OperatorOrdersLockTest.java
@@ -23,15 +23,15 @@
  * doing so.
  */
 @Timeout(120)
-final class OrdersLockTest {
+final class OperatorOrdersLockTest {
     @TempDir
     private Path folder;
 
-    private Rig rig;
+    private CourierHarness rig;
 
     @BeforeEach
     void build() throws IOException {
-        rig = new Rig(folder);
+        rig = new CourierHarness(folder);
     }
 
     @AfterEach
@@ -65,14 +65,14 @@
                 assertTrue(held.isValid());
                 operator.getOutputStream().write("set-down e1\n".getBytes(StandardCharsets.US_ASCII));
                 rig.await("its wait", () -> open(rig.newest(), "orders.lock") == 1);
-                assertEquals(202, rig.handIn("m1", "once").status());
+                assertEquals(202, rig.submit("m1", "once").status());
                 rig.await("its call", () -> rig.first.requests.size() == 1);
                 assertEquals(
                         200, rig.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
             }
             assertTrue(new String(operator.getInputStream().readAllBytes(), StandardCharsets.UTF_8).startsWith("OK"));
         }
-        assertEquals(202, rig.handIn("m2", "safe").status());
+        assertEquals(202, rig.submit("m2", "safe").status());
         assertEquals(200, rig.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
         assertEquals(1, rig.first.requests.size(), "left out");
     }
--- a/src/test/java/driftchute/node/OutageTest.java
+++ b/src/test/java/driftchute/node/OutageTest.java
@@ -40,15 +40,15 @@
 
     private static final class Outage {
         private final Form form;
-        private final Rig rig;
+        private final CourierHarness rig;
         private final List<FakeServer.Connection> kept = new CopyOnWriteArrayList<>();
         private long beginNs;
         private long returnNs;
 
         Outage(final Form form, final Path folder) throws IOException {
             this.form = form;
-            this.rig = new Rig(Files.createDirectories(folder));
-            rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
+            this.rig = new CourierHarness(Files.createDirectories(folder));
+            rig.hosts = CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
             rig.start();
             rig.await("the watch", () -> !rig.watches.isEmpty());
         }
@@ -82,7 +82,7 @@
         private void tell(final FakeServer.Connection connection) {
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             connection.chunk(
-                    "{\"seq\":42,\"whole\":false,\"hosts\":[" + Rig.host("e1", rig.first, "Terminating") + "]}\n");
+                    "{\"seq\":42,\"whole\":false,\"hosts\":[" + CourierHarness.host("e1", rig.first, "Terminating") + "]}\n");
         }
 
         /** Calls to that endpoint that arrived at least so many ms after the return. */
@@ -98,7 +98,7 @@
         final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
         for (int count = 0; System.nanoTime() < untilNs; count++) {
             for (final Outage outage : outages) {
-                assertEquals(202, outage.rig.handIn(name + count, "safe").status());
+                assertEquals(202, outage.rig.submit(name + count, "safe").status());
             }
             final long nextNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(20);
             outages.get(0).rig.await("the next round", () -> System.nanoTime() >= nextNs);
--- a/src/test/java/driftchute/node/RelistedTest.java
+++ b/src/test/java/driftchute/node/RelistedTest.java
@@ -18,7 +18,7 @@
 
     @Test
     void itsWaitStillApplies(@TempDir final Path folder) throws IOException {
-        try (Rig rig = new Rig(folder)) {
+        try (CourierHarness rig = new CourierHarness(folder)) {
             rig.extraSetting = "\"extra\":{\"calls_out\":12,\"per_call\":[1],\"routes_apart\":[true]}";
             final AtomicLong toldNs = new AtomicLong();
             rig.first.script((request, connection) -> {
@@ -30,10 +30,10 @@
             });
             rig.start();
             rig.await("the watch", () -> !rig.watches.isEmpty());
-            assertEquals(202, rig.handIn("m1", "safe").status());
+            assertEquals(202, rig.submit("m1", "safe").status());
             rig.await("the told wait", () -> rig.first.requests.size() == 1);
-            rig.change(42, Rig.host("e1", rig.first, "Gone"));
-            rig.change(43, Rig.host("e1", rig.first, "Ready"));
+            rig.change(42, CourierHarness.host("e1", rig.first, "Gone"));
+            rig.change(43, CourierHarness.host("e1", rig.first, "Ready"));
             rig.await("the next call", () -> rig.first.requests.size() == 2);
             final long afterMs =
                     TimeUnit.NANOSECONDS.toMillis(rig.first.requests.get(1).atNs() - toldNs.get());
--- a/src/test/java/driftchute/node/ReloadTest.java
+++ b/src/test/java/driftchute/node/ReloadTest.java
@@ -19,12 +19,12 @@
     @TempDir
     private Path folder;
 
-    private Rig rig;
+    private CourierHarness rig;
 
     @BeforeEach
     void build() throws IOException {
-        rig = new Rig(folder);
-        rig.movedHosts = Rig.host("e2", rig.second, "Ready");
+        rig = new CourierHarness(folder);
+        rig.movedHosts = CourierHarness.host("e2", rig.second, "Ready");
     }
 
     @AfterEach
@@ -34,7 +34,7 @@
 
     private void moveAndAwaitTheWatch() throws IOException, InterruptedException {
         rig.configure(rig.moved.address());
-        rig.hangUp();
+        rig.sendHangup();
         rig.await(
                 "the watch at the new address",
                 () -> rig.moved.requests.stream()
@@ -49,14 +49,14 @@
         rig.await("the end of the old one", () -> rig.watches.get(0).ended);
         assertEquals(
                 "GET /discovery/hosts HTTP/1.1", rig.moved.requests.get(0).line(), "no version of the old address");
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the call", () -> rig.second.requests.size() == 1);
         assertTrue(rig.first.requests.isEmpty(), "the new address does not list it");
-        rig.change(4, Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Gone"));
+        rig.change(4, CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Gone"));
         rig.await("a change from the new address", () -> {
             final String id = "m" + System.nanoTime();
             try {
-                return rig.handIn(id, "safe").status() == 202 && !rig.first.requests.isEmpty();
+                return rig.submit(id, "safe").status() == 202 && !rig.first.requests.isEmpty();
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -68,7 +68,7 @@
         rig.noticeStatus = 503;
         rig.first.script((request, connection) -> connection.reset());
         rig.start();
-        assertEquals(202, rig.handIn("m1", "once").status());
+        assertEquals(202, rig.submit("m1", "once").status());
         rig.await("a try at the old address", () -> rig.noticed("m1", "undeliverable"));
         rig.noticeStatus = 204;
         rig.platform.close();
@@ -85,17 +85,17 @@
         rig.start();
         rig.await("the watch", () -> rig.watches.size() == 1);
         moveAndAwaitTheWatch();
-        rig.movedHosts = Rig.host("e1", rig.first, "Ready");
+        rig.movedHosts = CourierHarness.host("e1", rig.first, "Ready");
         final int before = rig.platform.requests.size();
         rig.configure(rig.platform.address());
-        rig.hangUp();
-        rig.hangUp();
+        rig.sendHangup();
+        rig.sendHangup();
         rig.await(
                 "the watch at the first address again",
                 () -> rig.platform.requests.stream()
                         .skip(before)
                         .anyMatch(request -> request.line().contains("after=3")));
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
     }
 
@@ -105,10 +105,10 @@
         rig.await("the watch", () -> rig.watches.size() == 1);
         final int before = rig.log.size();
         Files.writeString(folder.resolve("config.json"), "{\"discovery\":\n\"nowhere");
-        rig.hangUp();
+        rig.sendHangup();
         rig.await("its line", () -> rig.log.size() > before);
         assertTrue(rig.log.get(before).contains("stays as it was"), rig.log.toString());
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
         assertEquals(before + 1, rig.log.size(), rig.log.toString());
         assertTrue(rig.isRunning());
@@ -118,11 +118,11 @@
     void aSighupDuringTheStopIsHandledAndDoesNotDisturbIt() throws IOException, InterruptedException {
         rig.first.script((request, connection) -> {});
         rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
         final Process ending = rig.terminate();
         moveAndAwaitTheWatch();
-        assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(ending.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
         rig.first.script((request, connection) -> connection.answer(200, ""));
         rig.start();
         rig.await("what was held goes on", () -> rig.first.requests.size() == 2);
--- a/src/test/java/driftchute/node/RepeatedIdTest.java
+++ b/src/test/java/driftchute/node/RepeatedIdTest.java
@@ -41,7 +41,7 @@
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private Rig rig;
+    private CourierHarness rig;
     private DeliveryService host;
     private int port;
 
@@ -52,11 +52,11 @@
     }
 
     private <T> T onLoop(final Callable<T> step) throws Exception {
-        return loop.submit(step).get(Rig.PATIENCE_S, TimeUnit.SECONDS);
+        return loop.submit(step).get(CourierHarness.PATIENCE_S, TimeUnit.SECONDS);
     }
 
     private void start(final int maxOpen) throws Exception {
-        rig = new Rig(folder);
+        rig = new CourierHarness(folder);
         rig.maxOpen = maxOpen;
         final Config config = Config.read(Map.of(
                 "PROXY_CONFIG",
@@ -76,15 +76,15 @@
         rig.await("the watch", () -> !rig.watches.isEmpty());
     }
 
-    private Rig.Answer send(final String raw) throws IOException {
+    private CourierHarness.Answer send(final String raw) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
-            return Rig.send(socket, raw);
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(CourierHarness.PATIENCE_S));
+            return CourierHarness.send(socket, raw);
         }
     }
 
     private int handIn(final String id, final String kind) throws IOException {
-        return send(Rig.message(id, kind)).status();
+        return send(CourierHarness.message(id, kind)).status();
     }
 
     private boolean holds(final String id) {
@@ -146,7 +146,7 @@
     @Test
     void anIdMayBeUsedAgainLongAfterItsDeadline() throws Exception {
         start(50);
-        final String brief = Rig.message("m1", "safe").replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: 400");
+        final String brief = CourierHarness.message("m1", "safe").replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: 400");
         assertEquals(202, send(brief).status());
         rig.await("its second time", () -> {
             try {
@@ -220,7 +220,7 @@
         final List<FakeServer.Connection> held = new ArrayList<>();
         rig.first.script((request, connection) -> held.add(connection));
         try (SocketChannel client = narrow()) {
-            write(client, Rig.message("m1", "once"));
+            write(client, CourierHarness.message("m1", "once"));
             rig.await("the call", () -> held.size() == 1);
             client.shutdownOutput();
             final String said =
@@ -240,7 +240,7 @@
         final List<FakeServer.Connection> held = new ArrayList<>();
         rig.first.script((request, connection) -> held.add(connection));
         try (SocketChannel client = narrow()) {
-            write(client, Rig.message("m1", "once"));
+            write(client, CourierHarness.message("m1", "once"));
             rig.await("the call", () -> held.size() == 1);
             assertTrue(holds("m1"));
             client.setOption(StandardSocketOptions.SO_LINGER, 0);
@@ -260,7 +260,7 @@
         start(50);
         for (final String time : List.of("0", "1", "3", "9223372036854775807")) {
             final String id = "t" + time;
-            final int status = send(Rig.message(id, "safe").replace("Ms: 20000", "Ms: " + time))
+            final int status = send(CourierHarness.message(id, "safe").replace("Ms: 20000", "Ms: " + time))
                     .status();
             assertTrue(List.of(202, 429, 500, 503).contains(status), time + ": " + status);
             rig.await("the end of " + id, () -> !holds(id));
@@ -269,7 +269,7 @@
         for (final String time : List.of("-1", "", "1.5", "1e3", "9223372036854775808", "none")) {
             assertEquals(
                     400,
-                    send(Rig.message("x", "safe").replace("Ms: 20000", "Ms: " + time))
+                    send(CourierHarness.message("x", "safe").replace("Ms: 20000", "Ms: " + time))
                             .status(),
                     time);
         }
--- a/src/test/java/driftchute/node/HostOnLoop.java
+++ b/src/test/java/driftchute/node/ServiceOnLoop.java
@@ -18,10 +18,10 @@
 import java.util.stream.Stream;
 
 /**
- * A courier's {@link DeliveryService} on an event loop of the test's own process, between the fakes of a {@link Rig}. A test can
+ * A courier's {@link DeliveryService} on an event loop of the test's own process, between the fakes of a {@link CourierHarness}. A test can
  * run steps in a turn of the loop, and block it while others act on its sockets.
  */
-final class HostOnLoop implements AutoCloseable {
+final class ServiceOnLoop implements AutoCloseable {
     static final long DEST = 7;
     static final long LIFE_US = 20_000_000;
     /** More than the rest of a connection after an answer. */
@@ -32,7 +32,7 @@
     private static final String SYN_SENT = "02";
     private static final String CLOSE_WAIT = "08";
 
-    final Rig rig;
+    final CourierHarness rig;
     final Clock clock = new Clock();
     /** The state folder. */
     final Path state;
@@ -43,10 +43,10 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
 
-    HostOnLoop(final Path folder) throws IOException {
+    ServiceOnLoop(final Path folder) throws IOException {
         this.folder = folder;
         this.state = folder.resolve("state");
-        this.rig = new Rig(folder);
+        this.rig = new CourierHarness(folder);
     }
 
     /** Starts it on the rig's changed configuration, and waits until its watch has confirmed the list. */
@@ -62,18 +62,18 @@
             return null;
         });
         rig.await("the watch", () -> !rig.watches.isEmpty());
-        tell(42, "start", "");
+        announceChange(42, "start", "");
     }
 
     /**
      * Announces a change of the list, with an endpoint of another destination beside it, and waits until that is known.
      */
-    void tell(final long seq, final String marker, final String hosts) {
+    void announceChange(final long seq, final String marker, final String hosts) {
         rig.change(
                 seq,
                 hosts
                         + (hosts.isEmpty() ? "" : ",")
-                        + Rig.host(marker, rig.second, "Ready")
+                        + CourierHarness.host(marker, rig.second, "Ready")
                                 .replace("\"block\":" + DEST, "\"block\":" + (DEST + 1)));
         rig.await("the list", () -> host.hasListed(marker));
     }
@@ -84,7 +84,7 @@
 
     /** Runs a step in a turn of the loop. */
     <T> T onLoop(final Callable<T> step) throws Exception {
-        return loop.submit(step).get(Rig.PATIENCE_S, TimeUnit.SECONDS);
+        return loop.submit(step).get(CourierHarness.PATIENCE_S, TimeUnit.SECONDS);
     }
 
     boolean isOnLoop(final BooleanSupplier condition) {
@@ -106,8 +106,8 @@
     }
 
     /** Blocks a turn of the loop, which meanwhile sees nothing of its sockets. */
-    static void hold(final BooleanSupplier until) {
-        final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(Rig.PATIENCE_S);
+    static void block(final BooleanSupplier until) {
+        final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(CourierHarness.PATIENCE_S);
         while (!until.getAsBoolean()) {
             if (System.nanoTime() > untilNs) {
                 throw new IllegalStateException("held for too long");
@@ -118,11 +118,11 @@
 
     void holdFor(final long us) {
         final long endUs = clock.nowUs() + us;
-        hold(() -> clock.nowUs() >= endUs);
+        block(() -> clock.nowUs() >= endUs);
     }
 
     /** Waits until each kept connection has had its rest after its last answer. */
-    void holdForRest() {
+    void blockForRest() {
         holdFor(RESTED_US);
     }
 
@@ -167,7 +167,7 @@
     }
 
     /** The journal's state of a message. */
-    JournaledMessage held(final String id) {
+    JournaledMessage journaled(final String id) {
         return journal.openMessages().stream()
                 .filter(one -> one.id.equals(id))
                 .findFirst()
@@ -184,7 +184,7 @@
      * True once what a server did ({@code FIN}, {@code RST}, or otherwise bytes that it wrote) has arrived in the
      * courier's socket, by the system's table of connections.
      */
-    static boolean hasCome(final String word, final int serverPort, final int courierPort) {
+    static boolean hasArrived(final String word, final int serverPort, final int courierPort) {
         final String local = String.format(Locale.ROOT, ":%04X", courierPort);
         final String remote = String.format(Locale.ROOT, ":%04X", serverPort);
         final List<String[]> sockets = sockets()
@@ -197,8 +197,8 @@
         };
     }
 
-    static boolean hasCome(final String word, final FakeServer server, final FakeServer.Connection connection) {
-        return hasCome(word, port(server), connection.otherPort());
+    static boolean hasArrived(final String word, final FakeServer server, final FakeServer.Connection connection) {
+        return hasArrived(word, port(server), connection.otherPort());
     }
 
     static int port(final FakeServer server) {
@@ -207,7 +207,7 @@
 
     private static Stream<String[]> sockets() {
         return Stream.of("/proc/net/tcp", "/proc/net/tcp6")
-                .flatMap(HostOnLoop::lines)
+                .flatMap(ServiceOnLoop::lines)
                 .map(line -> line.trim().split("\\s+"));
     }
 
--- a/src/test/java/driftchute/node/ShutdownTest.java
+++ b/src/test/java/driftchute/node/ShutdownTest.java
@@ -28,11 +28,11 @@
     @TempDir
     private Path folder;
 
-    private Rig rig;
+    private CourierHarness rig;
 
     @BeforeEach
     void build() throws IOException {
-        rig = new Rig(folder);
+        rig = new CourierHarness(folder);
     }
 
     @AfterEach
@@ -52,7 +52,7 @@
     }
 
     private void terminate() throws InterruptedException {
-        assertTrue(rig.terminate().waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(rig.terminate().waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
     }
 
     private long called() {
@@ -68,7 +68,7 @@
         rig.first.ignore();
         rig.start();
         for (final String id : IDS) {
-            assertEquals(202, rig.handIn(id, "once").status());
+            assertEquals(202, rig.submit(id, "once").status());
         }
         // The pass that accepted the last message has begun its calls when this is answered.
         assertEquals(200, rig.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
@@ -119,7 +119,7 @@
             connection.answer(500, "", "Connection: close");
         });
         rig.start();
-        assertEquals(202, rig.handIn("m0", "brief").status());
+        assertEquals(202, rig.submit("m0", "brief").status());
         rig.await(
                 "the end of the window",
                 () -> !rig.first.requests.isEmpty()
@@ -135,7 +135,7 @@
     void callsWrittenAtTheEndMayHaveBeenExecutedAndAreNotRepeated() throws Exception {
         rig.first.script((request, connection) -> {});
         rig.start();
-        assertEquals(202, rig.handIn("m0", "once").status());
+        assertEquals(202, rig.submit("m0", "once").status());
         rig.await("its call", () -> rig.first.requests.size() == 1);
         terminate();
         assertTrue(
--- a/src/test/java/driftchute/node/SlowEnd.java
+++ b/src/test/java/driftchute/node/SlowExitMain.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.locks.LockSupport;
 
 /** The program in a process that takes as long to end as a test wants. */
-public final class SlowEnd {
+public final class SlowExitMain {
     private static final String MAY_END = "may-end";
     private static final String ENDS = "ends";
 
-    private SlowEnd() {}
+    private SlowExitMain() {}
 
     public static void main(final String[] args) {
         final Path state = Path.of(System.getenv("PROXY_STATE"));
@@ -29,7 +29,7 @@
     }
 
     /** True if one of them was told to end. */
-    static boolean isEnding(final Rig rig) {
+    static boolean isEnding(final CourierHarness rig) {
         return rig.log.contains(ENDS);
     }
 }
--- a/src/test/java/driftchute/node/SteppedLoop.java
+++ b/src/test/java/driftchute/node/SteppedLoop.java
@@ -23,13 +23,13 @@
     private static final long ORIGIN_US = TimeUnit.DAYS.toMicros(1);
 
     private final MockTicker ticker = Ticker.newMockTicker();
-    private final AtomicInteger strangers = new AtomicInteger();
+    private final AtomicInteger foreignTimers = new AtomicInteger();
     private final ManualIoEventLoop loop =
             new ManualIoEventLoop(null, Thread.currentThread(), NioIoHandler.newFactory(), ticker) {
                 @Override
                 public ScheduledFuture<?> schedule(final Runnable command, final long delay, final TimeUnit unit) {
                     if (!inEventLoop()) {
-                        strangers.incrementAndGet();
+                        foreignTimers.incrementAndGet();
                     }
                     return super.schedule(command, delay, unit);
                 }
@@ -44,8 +44,8 @@
     }
 
     /** Number of timers set by other threads, which is not safe for code on a loop. */
-    int strangers() {
-        return strangers.get();
+    int foreignTimers() {
+        return foreignTimers.get();
     }
 
     /** Does everything that is due, and handles everything received. */
--- a/src/test/java/driftchute/node/EndBeforeServingTest.java
+++ b/src/test/java/driftchute/node/StopBeforeServingTest.java
@@ -22,15 +22,15 @@
  * SIGTERM to a process that is starting or standing by: however long it takes to end, it takes nothing over any more.
  */
 @Timeout(120)
-final class EndBeforeServingTest {
+final class StopBeforeServingTest {
     @TempDir
     private Path folder;
 
-    private Rig rig;
+    private CourierHarness rig;
 
     @BeforeEach
     void build() throws IOException {
-        rig = new Rig(folder);
+        rig = new CourierHarness(folder);
     }
 
     @AfterEach
@@ -45,11 +45,11 @@
     /** Starts a stand-by process and tells it to end, which it has not done yet. */
     private Process startAndEndTheNextSlowly() throws Exception {
         rig.start();
-        rig.program = "driftchute.node.SlowEnd";
+        rig.program = "driftchute.node.SlowExitMain";
         final Process old = rig.startBeside();
         rig.program = "driftchute.node.Main";
-        Rig.terminate(rig.newest());
-        rig.await("its end", () -> SlowEnd.isEnding(rig) && !isTaken("standby.lock"));
+        CourierHarness.terminate(rig.newest());
+        rig.await("its end", () -> SlowExitMain.isEnding(rig) && !isTaken("standby.lock"));
         return old;
     }
 
@@ -63,16 +63,16 @@
                                 .filter(line -> line.contains("stands by"))
                                 .count()
                         == 2);
-        Rig.terminate(old);
-        assertTrue(old.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+        CourierHarness.terminate(old);
+        assertTrue(old.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
         rig.await("the third", () -> ready() == 2);
     }
 
     @Test
     void theServingProcessDrainsIfTheStandByEnds() throws Exception {
         final Process old = startAndEndTheNextSlowly();
-        Rig.terminate(old);
-        assertTrue(old.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+        CourierHarness.terminate(old);
+        assertTrue(old.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
         assertFalse(rig.hasLogged("another process takes over"), rig.log.toString());
         assertEquals(1, ready(), "one that ends takes nothing up: " + rig.log);
     }
@@ -82,10 +82,10 @@
     void aStartThatIsStoppedSendsNothing() throws Exception {
         rig.first.script((request, connection) -> {});
         rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("its call", () -> rig.first.requests.size() == 1);
         rig.kill();
-        rig.program = "driftchute.node.SlowEnd";
+        rig.program = "driftchute.node.SlowExitMain";
         try (FileChannel orders = FileChannel.open(folder.resolve("state/orders.lock"), StandardOpenOption.WRITE)) {
             final Process next;
             try (FileLock held = orders.lock()) {
@@ -93,15 +93,15 @@
                 next = rig.launch();
                 // Without trying the locks, which could interfere with the process's own attempt.
                 rig.await("its wait for the lock", () -> hasOpen(next, "orders.lock"));
-                Rig.terminate(next);
-                rig.await("its end", () -> SlowEnd.isEnding(rig) && !isTaken("serving.lock"));
+                CourierHarness.terminate(next);
+                rig.await("its end", () -> SlowExitMain.isEnding(rig) && !isTaken("serving.lock"));
             }
             // Its place is free, and the message is sent once more by the process that takes it.
             rig.program = "driftchute.node.Main";
             rig.start();
             rig.await("the repeat", () -> rig.first.requests.size() == 2);
-            SlowEnd.allow(folder.resolve("state"));
-            assertTrue(next.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+            SlowExitMain.allow(folder.resolve("state"));
+            assertTrue(next.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
         }
     }
 
--- a/src/test/java/driftchute/node/UpgradeTest.java
+++ b/src/test/java/driftchute/node/UpgradeTest.java
@@ -33,11 +33,11 @@
     @TempDir
     private Path folder;
 
-    private Rig rig;
+    private CourierHarness rig;
 
     @BeforeEach
     void build() throws IOException {
-        rig = new Rig(folder);
+        rig = new CourierHarness(folder);
     }
 
     @AfterEach
@@ -53,7 +53,7 @@
     }
 
     private static void awaitEnd(final Process process) throws InterruptedException {
-        assertTrue(process.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
     }
 
     /** Answers are held back until a certain moment. */
@@ -91,19 +91,19 @@
         for (int count = 0; count < 12; count++) {
             final String id = "m" + count;
             ids.add(id);
-            assertEquals(202, rig.handIn(id, count % 2 == 0 ? "once" : "safe").status());
+            assertEquals(202, rig.submit(id, count % 2 == 0 ? "once" : "safe").status());
         }
         rig.await("calls out", () -> !held.isEmpty());
         final Process old = rig.startBeside();
         try (Socket kept = rig.connect()) {
-            assertEquals(200, Rig.send(kept, UP).status());
-            Rig.terminate(old);
+            assertEquals(200, CourierHarness.send(kept, UP).status());
+            CourierHarness.terminate(old);
             rig.await("the new one listens", () -> rig.hasLogged("the next process listens"));
-            final Rig.Answer late = Rig.send(kept, Rig.message("late", "safe"));
+            final CourierHarness.Answer late = CourierHarness.send(kept, CourierHarness.message("late", "safe"));
             assertEquals(202, late.status(), "an open connection of the old one is still served");
             assertTrue(late.head().contains("connection: close"), late.head());
             ids.add("late");
-            assertEquals(202, rig.handIn("new", "safe").status());
+            assertEquals(202, rig.submit("new", "safe").status());
             ids.add("new");
             open.set(true);
             held.forEach(UpgradeTest::accept);
@@ -139,7 +139,7 @@
             }));
         }
         clients.forEach(Thread::start);
-        Rig.terminate(old);
+        CourierHarness.terminate(old);
         awaitEnd(old);
         over.set(true);
         for (final Thread client : clients) {
@@ -151,13 +151,13 @@
 
     @Test
     void ordersApplyAcrossAnUpgradeWhicheverProcessReceivedThem() throws Exception {
-        rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
+        rig.hosts = CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
         rig.start();
         final int oldMgmt = rig.mgmtPort();
         final Process old = rig.startBeside();
-        assertTrue(rig.call("set-down e1").startsWith("OK"), "told to the one that stands by");
+        assertTrue(rig.command("set-down e1").startsWith("OK"), "told to the one that stands by");
         for (int count = 0; count < 10; count++) {
-            assertEquals(202, rig.handIn("a" + count, "safe").status());
+            assertEquals(202, rig.submit("a" + count, "safe").status());
         }
         rig.await(
                 "all of them",
@@ -165,12 +165,12 @@
                         .anyMatch(request ->
                                 request.text().contains("a9") || "a9".equals(request.header("X-Request-ID"))));
         assertTrue(rig.first.requests.isEmpty(), "heeded by the one that serves");
-        assertTrue(Rig.call(oldMgmt, "drain-on").startsWith("OK"));
-        Rig.terminate(old);
+        assertTrue(CourierHarness.command(oldMgmt, "drain-on").startsWith("OK"));
+        CourierHarness.terminate(old);
         awaitEnd(old);
         assertEquals(503, rig.send(UP).status(), "still drained");
-        assertEquals(202, rig.handIn("b", "safe").status());
-        assertTrue(rig.call("drain-off").startsWith("OK"));
+        assertEquals(202, rig.submit("b", "safe").status());
+        assertTrue(rig.command("drain-off").startsWith("OK"));
         assertEquals(200, rig.send(UP).status());
         rig.await(
                 "the message",
@@ -183,9 +183,9 @@
         final List<FakeServer.Request> held = new CopyOnWriteArrayList<>();
         final AtomicBoolean open = holdAnswers(held);
         rig.start();
-        assertEquals(202, rig.handIn("safe", "safe").status());
+        assertEquals(202, rig.submit("safe", "safe").status());
         rig.await("its call", () -> calls("safe") == 1);
-        assertEquals(202, rig.handIn("once", "once").status());
+        assertEquals(202, rig.submit("once", "once").status());
         rig.await("its call", () -> calls("once") == 1);
         final Process old = rig.startBeside();
         open.set(true);
@@ -201,14 +201,14 @@
         rig.start();
         final Process first = rig.startBeside();
         rig.kill();
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("its call", () -> calls("m1") == 1);
         // The killed process is not the serving one: the third finds the first.
         rig.resume(first);
         rig.startBeside();
-        Rig.terminate(first);
+        CourierHarness.terminate(first);
         awaitEnd(first);
-        assertEquals(202, rig.handIn("m2", "safe").status());
+        assertEquals(202, rig.submit("m2", "safe").status());
         rig.await("its call", () -> calls("m2") == 1);
     }
 
@@ -217,18 +217,18 @@
         final List<FakeServer.Request> held = new CopyOnWriteArrayList<>();
         final AtomicBoolean open = holdAnswers(held);
         rig.start();
-        assertEquals(202, rig.handIn("m1", "once").status());
+        assertEquals(202, rig.submit("m1", "once").status());
         rig.await("its call", () -> calls("m1") == 1);
         final Process first = rig.startBeside();
-        Rig.terminate(first);
+        CourierHarness.terminate(first);
         rig.await("the second listens", () -> rig.hasLogged("the next process listens"));
         final Process second = rig.startBeside();
-        Rig.terminate(second);
+        CourierHarness.terminate(second);
         awaitEnd(second);
         open.set(true);
         held.forEach(UpgradeTest::accept);
         awaitEnd(first);
-        assertEquals(202, rig.handIn("m2", "safe").status());
+        assertEquals(202, rig.submit("m2", "safe").status());
         rig.await("its call", () -> calls("m2") == 1);
         assertEquals(1, calls("m1"), "never sent again");
     }
