--- a/src/test/java/driftchute/fleet/lane/LaneMessagesTest.java
+++ b/src/test/java/driftchute/fleet/lane/LaneMessagesTest.java
@@ -56,7 +56,7 @@
         frame[6] = (byte) body.length;
         System.arraycopy(body, 0, frame, 7, body.length);
         for (final Message message : codec.decode(frame)) {
-            assertThat(message.size()).isLessThanOrEqualTo(FrameCodec.MAX_BODY);
+            assertThat(message.size()).isLessThanOrEqualTo(FrameCodec.MAX_BODY_BYTES);
             if (message instanceof LevelMessage level) {
                 assertThat(level.level().cut(0)).isBetween(0.0, 1.0);
             } else if (message instanceof DemandMessage demand) {
--- a/src/test/java/driftchute/fleet/lane/LaneSimulation.java
+++ b/src/test/java/driftchute/fleet/lane/LaneSimulation.java
@@ -1,8 +1,8 @@
 package driftchute.fleet.lane;
 
-import driftchute.fleet.EventLog;
 import driftchute.fleet.ClockReading;
 import driftchute.fleet.ControlPlane;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.Tier;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -42,7 +42,8 @@
 
     final class Node implements AllocatorRole {
         final int self;
-        final LaneComponent part = new LaneComponent(size, RATION_US, () -> lanes, this, destination -> LIMIT, EventLog.NONE);
+        final LaneComponent part =
+                new LaneComponent(size, RATION_US, () -> lanes, this, destination -> LIMIT, EventLog.NONE);
         final ControlPlane plane;
         final LoadShedder shedder;
         final Quota quota = new Quota(size, lanes);
@@ -56,7 +57,8 @@
 
         Node(final int self) {
             this.self = self;
-            this.plane = new ControlPlane(new Tier(self, size, 1), List.of(part), (peer, bytes) -> fly(self, peer, bytes));
+            this.plane =
+                    new ControlPlane(new Tier(self, size, 1), List.of(part), (peer, bytes) -> fly(self, peer, bytes));
             this.shedder = new LoadShedder(RATION_US, lanes, (name, fields) -> events.add(self + " " + name));
         }
 
@@ -149,7 +151,8 @@
             }
             for (final Node node : nodes) {
                 if (nowUs % TURN_US == 0) {
-                    node.part.setOffered(node.now(), node.shedder.update(node.now().monoUs(), destination -> node.own));
+                    node.part.setOffered(
+                            node.now(), node.shedder.update(node.now().monoUs(), destination -> node.own));
                 }
                 node.plane.tick(node.now());
                 node.shedder.onView(node.now().monoUs(), node.part.view(node.now()));
--- a/src/test/java/driftchute/fleet/lane/QuotaAndHeldMessagesTest.java
+++ b/src/test/java/driftchute/fleet/lane/QuotaAndHeldMessagesTest.java
@@ -49,7 +49,9 @@
         for (long account = 2; account < 2 + Quota.MAX_ACCOUNTS; account++) {
             assertThat(quota.meteredLane(0, 0, account)).isZero();
         }
-        assertThat(quota.meteredLane(0, 0, 1)).as("forgotten: least recently seen").isZero();
+        assertThat(quota.meteredLane(0, 0, 1))
+                .as("forgotten: least recently seen")
+                .isZero();
         assertThat(quota.meteredLane(0, 1, 1) + quota.meteredLane(0, 1, 1)).isEqualTo(2);
     }
 
@@ -60,11 +62,14 @@
             @ForAll @IntRange(max = 40) final int roomFor) {
         final List<HeldMessages.HeldMessage> ahead = new ArrayList<>();
         for (final int kind : kinds) {
-            ahead.add(new HeldMessages.HeldMessage("m" + ahead.size(), kind >> 1, SECOND * kind, ahead.size(), kind % 2 == 0));
+            ahead.add(new HeldMessages.HeldMessage(
+                    "m" + ahead.size(), kind >> 1, SECOND * kind, ahead.size(), kind % 2 == 0));
         }
         final HeldMessages.HeldMessage newcomer = new HeldMessages.HeldMessage("new", lane, SECOND, ahead.size(), true);
         final List<HeldMessages.HeldMessage> gone = HeldMessages.toDropFor(0, ahead, newcomer, roomFor);
-        assertThat(gone).allMatch(held -> held.droppable() && held.lane() > lane).doesNotHaveDuplicates();
+        assertThat(gone)
+                .allMatch(held -> held.droppable() && held.lane() > lane)
+                .doesNotHaveDuplicates();
         final long could = ahead.stream()
                 .filter(held -> held.droppable() && held.lane() > lane)
                 .count();
--- a/src/test/java/driftchute/fleet/lease/LeaseSimulation.java
+++ b/src/test/java/driftchute/fleet/lease/LeaseSimulation.java
@@ -1,8 +1,8 @@
 package driftchute.fleet.lease;
 
-import driftchute.fleet.EventLog;
 import driftchute.fleet.ClockReading;
 import driftchute.fleet.ControlPlane;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.Tier;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -95,7 +95,8 @@
     int holdings;
 
     /** @param drift maximum deviation of each clock from true time, as a share; skews are of the wall clocks */
-    LeaseSimulation(final int size, final LeaseTiming terms, final double drift, final long mostSkewMs, final long seed) {
+    LeaseSimulation(
+            final int size, final LeaseTiming terms, final double drift, final long mostSkewMs, final long seed) {
         this.random = new SplittableRandom(seed);
         this.terms = terms;
         this.cut = new boolean[size][size];
--- a/src/test/java/driftchute/fleet/lease/RoleLeasesTest.java
+++ b/src/test/java/driftchute/fleet/lease/RoleLeasesTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatIllegalArgumentException;
 
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.EventLog;
 import driftchute.fleet.Message;
-import driftchute.fleet.ClockReading;
 import driftchute.fleet.Tier;
 import java.nio.ByteBuffer;
 import java.util.List;
@@ -140,8 +140,8 @@
                 net.nodes.stream().filter(node -> node.holds(0)).findFirst().orElseThrow();
         final long old = holder.leases.held(holder.now(), 0).getAsLong();
         assertThat(net.nodes)
-                .allMatch(
-                        node -> node.leases.holder(node.now(), 0).equals(Optional.of(new RoleHolder(holder.number, old))));
+                .allMatch(node ->
+                        node.leases.holder(node.now(), 0).equals(Optional.of(new RoleHolder(holder.number, old))));
         holder.run(() -> holder.leases.release(holder.now(), holder.plane.outbox()));
         assertThat(holder.holds(0)).isFalse();
         net.runFor(LEASE_US / 2);
--- a/src/test/java/driftchute/fleet/membership/MembershipTest.java
+++ b/src/test/java/driftchute/fleet/membership/MembershipTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import driftchute.fleet.EventLog;
 import driftchute.fleet.ClockReading;
 import driftchute.fleet.Component;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.Tier;
 import driftchute.fleet.VirtualFleet;
 import driftchute.fleet.VirtualFleet.NetworkFaults;
@@ -108,7 +108,8 @@
             final World world = new World(size, seed);
             final int dead = seed % size;
             world.fleet.kill(dead);
-            all.recordValue(world.await(boundUs, () -> world.agree(id -> id == dead ? MemberState.DEAD : MemberState.ALIVE)));
+            all.recordValue(
+                    world.await(boundUs, () -> world.agree(id -> id == dead ? MemberState.DEAD : MemberState.ALIVE)));
             assertThat(world.count("member_dead", event -> event.member() != dead))
                     .isZero();
         }
@@ -202,7 +203,8 @@
             world.fleet.kill(2);
             left.recordValue(world.await(
                     10 * PERIOD,
-                    () -> IntStream.range(0, 30).allMatch(observer -> world.at[observer].state(2) == MemberState.LEFT)));
+                    () -> IntStream.range(0, 30)
+                            .allMatch(observer -> world.at[observer].state(2) == MemberState.LEFT)));
             world.fleet.run(60 * PERIOD);
             assertThat(world.count("member_suspected", event -> event.member() == 2))
                     .isZero();
@@ -265,8 +267,8 @@
             world.fleet.kill(5);
             world.fleet.start(5);
             for (int lie = 0; lie < 200; lie++) {
-                final MemberState state =
-                        List.of(MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD).get(random.nextInt(3));
+                final MemberState state = List.of(MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD)
+                        .get(random.nextInt(3));
                 final long above = 1L << random.nextInt(49);
                 final int about = 1 + random.nextInt(9);
                 world.fleet.tell(
@@ -280,7 +282,8 @@
                     .as("deaths by lies")
                     .isZero();
             world.await(120 * PERIOD, () -> world.agree(id -> MemberState.ALIVE));
-            assertThat(Arrays.stream(world.kept).max().orElseThrow()).isLessThan(200 * (MemberTable.MAX_JUMP + 1));
+            assertThat(Arrays.stream(world.kept).max().orElseThrow())
+                    .isLessThan(200 * (MemberTable.MAX_INCARNATION_JUMP + 1));
             assertThat(Arrays.stream(world.at).mapToLong(Membership::refused).sum())
                     .isPositive();
         }
--- a/src/test/java/driftchute/fleet/membership/MessagesTest.java
+++ b/src/test/java/driftchute/fleet/membership/MessagesTest.java
@@ -38,8 +38,8 @@
                         .filter((member, said, by) -> !member.equals(by))
                         .as(Messages.Gossip::new),
                 Combinators.combine(courier, claim.list().ofMaxSize(30))
-                        .as((first, claims) ->
-                                new Messages.TableSegment(first, claims.subList(0, Math.min(claims.size(), SIZE - first)))));
+                        .as((first, claims) -> new Messages.TableSegment(
+                                first, claims.subList(0, Math.min(claims.size(), SIZE - first)))));
     }
 
     @Property(seed = "1")
--- a/src/test/java/driftchute/fleet/ration/FleetSim.java
+++ b/src/test/java/driftchute/fleet/ration/FleetSim.java
@@ -1,11 +1,11 @@
 package driftchute.fleet.ration;
 
 import driftchute.Courier;
-import driftchute.fleet.LeasedRole;
-import driftchute.fleet.EventLog;
-import driftchute.fleet.FleetConfig;
 import driftchute.fleet.ClockReading;
 import driftchute.fleet.ControlPlane;
+import driftchute.fleet.EventLog;
+import driftchute.fleet.FleetConfig;
+import driftchute.fleet.LeasedRole;
 import driftchute.fleet.Tier;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -113,7 +113,8 @@
                         final long recent = made.subList(Math.max(0, made.size() - CROWD), made.size()).stream()
                                 .filter(atUs -> atUs > nowUs - SECOND)
                                 .count();
-                        return new Courier.DestinationReport(i, told[i], recent, (int) waiting[i], Courier.CircuitState.CLOSED, 0, 0, 0, 0);
+                        return new Courier.DestinationReport(
+                                i, told[i], recent, (int) waiting[i], Courier.CircuitState.CLOSED, 0, 0, 0, 0);
                     })
                     .toList();
         }
--- a/src/test/java/driftchute/fleet/ration/MaxMinFairnessTest.java
+++ b/src/test/java/driftchute/fleet/ration/MaxMinFairnessTest.java
@@ -21,8 +21,9 @@
             @ForAll @Size(max = 12) final List<@DoubleRange(max = 500) Double> demands,
             @ForAll @Size(12) final List<@DoubleRange(max = 100) Double> guarantees,
             @ForAll @Size(12) final List<@DoubleRange(min = 0.1, max = 10) Double> weights) {
-        final List<MaxMinFairness.Claim> alone =
-                demands.stream().map(demand -> new MaxMinFairness.Claim(demand, 0, 1)).toList();
+        final List<MaxMinFairness.Claim> alone = demands.stream()
+                .map(demand -> new MaxMinFairness.Claim(demand, 0, 1))
+                .toList();
         check(
                 capacity,
                 alone,
--- a/src/test/java/driftchute/fleet/ration/RateAllocatorTest.java
+++ b/src/test/java/driftchute/fleet/ration/RateAllocatorTest.java
@@ -4,11 +4,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import driftchute.Courier;
-import driftchute.fleet.FrameCodec;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.EventLog;
+import driftchute.fleet.FrameCodec;
 import driftchute.fleet.MalformedMessageException;
 import driftchute.fleet.Message;
-import driftchute.fleet.ClockReading;
 import driftchute.fleet.Tier;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -54,14 +54,16 @@
                                 seq,
                                 1500,
                                 LimitShares.atLeast(0.2),
-                                List.of(new LeaseRequest.Demand(9, FIGURES[random.nextInt(8)], FIGURES[random.nextInt(8)]))),
+                                List.of(new LeaseRequest.Demand(
+                                        9, FIGURES[random.nextInt(8)], FIGURES[random.nextInt(8)]))),
                         hold);
             }
             allocator.grantMore(atUs, hold);
             live.removeIf(each -> each.untilUs() <= atUs);
             final int[] shares = new int[4];
             live.forEach(each -> shares[each.courier()] = Math.max(shares[each.courier()], each.share()));
-            assertThat(shares[0] + shares[1] + shares[2] + shares[3]).isLessThanOrEqualTo((int) (0.8 * LimitShares.WHOLE));
+            assertThat(shares[0] + shares[1] + shares[2] + shares[3])
+                    .isLessThanOrEqualTo((int) (0.8 * LimitShares.WHOLE));
         }
     }
 
@@ -91,7 +93,7 @@
                             .toList());
             assertThat(rations.tick(now, (to, message) -> own.add(message))).isGreaterThan(monoUs);
             for (Message message = own.poll(); message != null; message = own.poll()) {
-                assertThat(message.size()).isLessThanOrEqualTo(FrameCodec.MAX_BODY);
+                assertThat(message.size()).isLessThanOrEqualTo(FrameCodec.MAX_BODY_BYTES);
                 final ByteBuffer body = ByteBuffer.allocate(message.size());
                 message.write(body);
                 final Message.Reader reader = rations.readers().get(message.type());
--- a/src/test/java/driftchute/fleet/session/SessionClassifierTest.java
+++ b/src/test/java/driftchute/fleet/session/SessionClassifierTest.java
@@ -49,7 +49,8 @@
 
     @Test
     void bothErrorRatesAreAsStated() {
-        final double healthy = chance(SessionClassifier.HEALTHY_FAILURE_RATE, SessionClass.ANY, SessionClassifier.ENOUGH_CALLS, false);
+        final double healthy =
+                chance(SessionClassifier.HEALTHY_FAILURE_RATE, SessionClass.ANY, SessionClassifier.ENOUGH_CALLS, false);
         final double any = chance(SessionClassifier.HARMFUL_FAILURE_RATE, SessionClass.ANY, 1000, true);
         final double run = chance(SessionClassifier.HARMFUL_FAILURE_RATE, SessionClass.RUN, 1000, true);
         System.out.printf("at 1%% any after 130 calls %.4f; at 10%% ever any %.4f, ever run %.4f%n", healthy, any, run);
--- a/src/test/java/driftchute/fleet/session/SessionSimulation.java
+++ b/src/test/java/driftchute/fleet/session/SessionSimulation.java
@@ -1,10 +1,10 @@
 package driftchute.fleet.session;
 
 import driftchute.Courier.Effect;
-import driftchute.fleet.FrameCodec;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.EventLog;
+import driftchute.fleet.FrameCodec;
 import driftchute.fleet.Message;
-import driftchute.fleet.ClockReading;
 import driftchute.fleet.Tier;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -97,7 +97,8 @@
         couriers.get(courier)
                 .observe(
                         now(courier),
-                        new CallOutcome(7, shares, well ? CallOutcome.CallResult.ANSWERED : CallOutcome.CallResult.ERROR),
+                        new CallOutcome(
+                                7, shares, well ? CallOutcome.CallResult.ANSWERED : CallOutcome.CallResult.ERROR),
                         (peer, message) -> send(courier, peer, message));
     }
 
--- a/src/test/java/driftchute/fleet/session/SessionStateTest.java
+++ b/src/test/java/driftchute/fleet/session/SessionStateTest.java
@@ -114,14 +114,15 @@
         for (final Message message : List.of(
                 new DemotionMessage(true, session, 1),
                 new DemotionMessage(false, session, 1 << 20),
-                new CountersMessage(counters.processGeneration(), List.of(new CountersMessage.Row(session, 3, counters))))) {
+                new CountersMessage(
+                        counters.processGeneration(), List.of(new CountersMessage.Row(session, 3, counters))))) {
             assertThat(codec().decode(codec().encode(List.of(message)))).containsExactly(message);
         }
     }
 
     @Property
     void randomBytesAreReadOrCounted(@ForAll final byte[] body) {
-        final int length = Math.min(body.length, FrameCodec.MAX_BODY);
+        final int length = Math.min(body.length, FrameCodec.MAX_BODY_BYTES);
         for (final int type : List.of(DemotionMessage.DEMOTED, DemotionMessage.ACKNOWLEDGED, CountersMessage.TYPE)) {
             final byte[] frame = new byte[7 + length];
             frame[0] = 1;
@@ -129,7 +130,8 @@
             frame[6] = (byte) length;
             System.arraycopy(body, 0, frame, 7, length);
             final FrameCodec codec = codec();
-            assertThat(codec.decode(frame).isEmpty()).isEqualTo(codec.drops().equals(Map.of(FrameCodec.Drop.MALFORMED, 1L)));
+            assertThat(codec.decode(frame).isEmpty())
+                    .isEqualTo(codec.drops().equals(Map.of(FrameCodec.Drop.MALFORMED, 1L)));
         }
     }
 }
--- a/src/test/java/driftchute/fleet/session/SessionsTest.java
+++ b/src/test/java/driftchute/fleet/session/SessionsTest.java
@@ -208,7 +208,8 @@
         assertThat(demotions).isGreaterThan(150);
     }
 
-    private static void observe(final SessionSimulation net, final List<Runnable> bag, final int at, final boolean well) {
+    private static void observe(
+            final SessionSimulation net, final List<Runnable> bag, final int at, final boolean well) {
         net.couriers
                 .get(at)
                 .observe(
@@ -221,7 +222,11 @@
     }
 
     private static void carry(
-            final SessionSimulation net, final List<Runnable> bag, final int from, final int to, final Message message) {
+            final SessionSimulation net,
+            final List<Runnable> bag,
+            final int from,
+            final int to,
+            final Message message) {
         bag.add(() -> net.couriers
                 .get(to)
                 .receive(net.now(to), from, message, (peer, answer) -> carry(net, bag, to, peer, answer)));
--- a/src/test/java/driftchute/fleet/verdict/VerdictLatticeTest.java
+++ b/src/test/java/driftchute/fleet/verdict/VerdictLatticeTest.java
@@ -4,10 +4,10 @@
 import static org.assertj.core.api.Assertions.catchThrowable;
 
 import driftchute.Courier.TierHealth;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.LeasedRole;
 import driftchute.fleet.MalformedMessageException;
 import driftchute.fleet.Message;
-import driftchute.fleet.ClockReading;
 import driftchute.fleet.Tier;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -57,10 +57,13 @@
         final Arbitrary<EvidenceEntry> report = Combinators.combine(courier, ms, few, few, few, few)
                 .as((by, made, last, since, failed, shut) -> new FailureReport(
                         1, by, made, made - last, made - last - since, failed.intValue(), shut < 5 ? 0 : made + shut));
-        final Arbitrary<RecoveryEvidence.Delivery> seen = Combinators.combine(ms, courier).as(RecoveryEvidence.Delivery::new);
+        final Arbitrary<RecoveryEvidence.Delivery> seen =
+                Combinators.combine(ms, courier).as(RecoveryEvidence.Delivery::new);
         final Arbitrary<EvidenceEntry> back = Combinators.combine(seen, seen, Arbitraries.of(true, false))
                 .as((one, other, out) -> new RecoveryEvidence(
-                        1, one.later(other), !out ? RecoveryEvidence.Delivery.NEVER : one.compareTo(other) < 0 ? one : other));
+                        1,
+                        one.later(other),
+                        !out ? RecoveryEvidence.Delivery.NEVER : one.compareTo(other) < 0 ? one : other));
         return Arbitraries.frequencyOf(Tuple.of(4, report), Tuple.of(1, back));
     }
 
--- a/src/test/java/driftchute/fleet/verdict/VerdictScheduleTest.java
+++ b/src/test/java/driftchute/fleet/verdict/VerdictScheduleTest.java
@@ -5,8 +5,8 @@
 import driftchute.Courier;
 import driftchute.Courier.CircuitState;
 import driftchute.Courier.TierHealth;
-import driftchute.fleet.Message;
 import driftchute.fleet.ClockReading;
+import driftchute.fleet.Message;
 import driftchute.fleet.verdict.VerdictSimulation.Node;
 import driftchute.fleet.verdict.VerdictSimulation.Term;
 import java.util.ArrayList;
@@ -100,7 +100,8 @@
                 suspected += scene.nodes.get(5).standing() == TierHealth.SUSPECTED ? 1 : 0;
                 assertThat(scene.nodes)
                         .as("nobody echoes it")
-                        .allMatch(node -> node.standing() == TierHealth.HEALTHY || node.standing() == TierHealth.SUSPECTED);
+                        .allMatch(node ->
+                                node.standing() == TierHealth.HEALTHY || node.standing() == TierHealth.SUSPECTED);
             }
         }
         assertThat(suspected).as("of 4,000 looks").isBetween(1, 1000);
@@ -216,7 +217,9 @@
         final ClockReading asked = node.now();
         final long ms = asked.wallMs();
         hear(node, new FailureReport(7, 1, ms, ms, ms, 3, 0), new FailureReport(7, 2, ms, ms, ms, 3, 0));
-        node.verdicts.onReports(asked, List.of(new Courier.DestinationReport(7, 0, 1, 1, CircuitState.CLOSED, 0, Long.MAX_VALUE, 0, 0)));
+        node.verdicts.onReports(
+                asked,
+                List.of(new Courier.DestinationReport(7, 0, 1, 1, CircuitState.CLOSED, 0, Long.MAX_VALUE, 0, 0)));
         final List<Message> said = new ArrayList<>();
         node.verdicts.tick(asked, (peer, message) -> said.add(message));
         assertThat(said).contains(new VerdictMessages.ProbeRequest(7, 1));
--- a/src/test/java/driftchute/fleet/verdict/VerdictSimulation.java
+++ b/src/test/java/driftchute/fleet/verdict/VerdictSimulation.java
@@ -4,12 +4,12 @@
 import driftchute.Courier.CircuitState;
 import driftchute.Courier.TierHealth;
 import driftchute.Courier.Verdict;
-import driftchute.fleet.LeasedRole;
-import driftchute.fleet.Message;
 import driftchute.fleet.ClockReading;
-import driftchute.fleet.Outbox;
 import driftchute.fleet.Component;
 import driftchute.fleet.ControlPlane;
+import driftchute.fleet.LeasedRole;
+import driftchute.fleet.Message;
+import driftchute.fleet.Outbox;
 import driftchute.fleet.Tier;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -162,7 +162,8 @@
                     call(nowUs + SECOND);
                 }
                 verdicts.onReports(
-                        now(), List.of(new Courier.DestinationReport(DEST, 0, 1, 1, phase, failed, troubleUs, servedUs, 0)));
+                        now(),
+                        List.of(new Courier.DestinationReport(DEST, 0, 1, 1, phase, failed, troubleUs, servedUs, 0)));
                 plane.tick(now());
             }
             at(nowUs + 100 * MS, this::step);
--- a/src/test/java/driftchute/node/BadClientTest.java
+++ b/src/test/java/driftchute/node/BadClientTest.java
@@ -107,11 +107,13 @@
 
     @Test
     void aMessageForAnUnknownDestinationIsRefused() throws IOException {
-        assertTrue(tell(CourierHarness.message("m1", "safe").replace("dest=7", "dest=8")).startsWith("HTTP/1.1 404"));
+        assertTrue(tell(CourierHarness.message("m1", "safe").replace("dest=7", "dest=8"))
+                .startsWith("HTTP/1.1 404"));
         rig.change(42, CourierHarness.host("e8", rig.first, "Ready").replace("\"block\":7", "\"block\":8"));
         rig.await("the new destination", () -> {
             try {
-                return rig.send(CourierHarness.message("m" + System.nanoTime(), "safe").replace("dest=7", "dest=8"))
+                return rig.send(CourierHarness.message("m" + System.nanoTime(), "safe")
+                                        .replace("dest=7", "dest=8"))
                                 .status()
                         == 202;
             } catch (final IOException e) {
@@ -167,7 +169,8 @@
     void aClientThatEndsItsSendingSideIsAnswered() throws IOException {
         for (int count = 0; count < 20; count++) {
             try (Socket socket = rig.connect()) {
-                socket.getOutputStream().write(CourierHarness.message("m" + count, "safe").getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream()
+                        .write(CourierHarness.message("m" + count, "safe").getBytes(StandardCharsets.ISO_8859_1));
                 socket.shutdownOutput();
                 final String said = allOf(socket);
                 assertTrue(said.startsWith("HTTP/1.1 202") || said.startsWith("HTTP/1.1 503"), "said: " + said);
@@ -180,7 +183,8 @@
     void theDeadlineAllowsForTimeAMessageWaitedUnread() {
         assertEquals(4_800_000, ClientServer.deliveryTimeUs(5000, 12_000_000));
         assertEquals(11_800_000, ClientServer.deliveryTimeUs(99_000, 12_000_000), "no longer than its class may take");
-        assertEquals(300_000, ClientServer.deliveryTimeUs(400, 12_000_000), "a short time is not used up by the margin");
+        assertEquals(
+                300_000, ClientServer.deliveryTimeUs(400, 12_000_000), "a short time is not used up by the margin");
         assertEquals(0, ClientServer.deliveryTimeUs(0, 12_000_000));
     }
 
--- a/src/test/java/driftchute/node/BlockedLoopMain.java
+++ b/src/test/java/driftchute/node/BlockedLoopMain.java
@@ -21,6 +21,7 @@
 
     private BlockedLoopMain() {}
 
+    /** Starts the program. */
     public static void main(final String[] args) {
         final Path state = Path.of(System.getenv("PROXY_STATE"));
         System.setErr(new PrintStream(new FileOutputStream(FileDescriptor.err), true, StandardCharsets.UTF_8) {
--- a/src/test/java/driftchute/node/CallConnectionTest.java
+++ b/src/test/java/driftchute/node/CallConnectionTest.java
@@ -98,8 +98,8 @@
         courier.onLoop(() -> {
             courier.offer("m1", "once", SHORT_US, new byte[] {1});
             final long endUs = courier.clock.nowUs() + SHORT_US;
-            courier.then(
-                    () -> ServiceOnLoop.block(() -> courier.clock.nowUs() >= endUs && !rig.first.connections.isEmpty()));
+            courier.then(() ->
+                    ServiceOnLoop.block(() -> courier.clock.nowUs() >= endUs && !rig.first.connections.isEmpty()));
             return null;
         });
         rig.await("its end", () -> !rig.notices.isEmpty());
@@ -223,14 +223,16 @@
     private Socket writeInPart(final ServerSocket server) throws Exception {
         courier.onLoop(() -> {
             IntStream.range(0, MESSAGES)
-                    .forEach(number -> courier.offer("m" + number, "once", ServiceOnLoop.LIFE_US, new byte[BODY_BYTES]));
+                    .forEach(
+                            number -> courier.offer("m" + number, "once", ServiceOnLoop.LIFE_US, new byte[BODY_BYTES]));
             return null;
         });
         final Socket connection = server.accept();
         rig.await(
                 "the call's first bytes",
                 () -> courier.isOnLoop(() -> courier.journaled("m0").isInFlight()));
-        assertTrue(courier.isOnLoop(() -> courier.journaled("m" + (MESSAGES - 1)).isInFlight()), "one call for all");
+        assertTrue(
+                courier.isOnLoop(() -> courier.journaled("m" + (MESSAGES - 1)).isInFlight()), "one call for all");
         return connection;
     }
 
@@ -238,7 +240,8 @@
     private void assertThatNoneHasRun(final ServerSocket server) throws Exception {
         server.accept().close();
         assertTrue(courier.isOnLoop(() -> courier.journal.openMessages().size() == MESSAGES
-                && courier.journal.openMessages().stream().allMatch(held -> held.firstExecutionWallUs() == JournaledMessage.NEVER)));
+                && courier.journal.openMessages().stream()
+                        .allMatch(held -> held.firstExecutionWallUs() == JournaledMessage.NEVER)));
         assertEquals(List.of(), rig.notices);
     }
 
@@ -266,7 +269,8 @@
                 Socket connection = writeInPart(server)) {
             final long taken = courier.onLoop(() -> {
                 connection.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
-                ServiceOnLoop.block(() -> ServiceOnLoop.hasArrived("an answer", server.getLocalPort(), connection.getPort()));
+                ServiceOnLoop.block(
+                        () -> ServiceOnLoop.hasArrived("an answer", server.getLocalPort(), connection.getPort()));
                 long bytes = 0;
                 while (ServiceOnLoop.queued(server.getLocalPort()) > 0) {
                     bytes += connection
--- a/src/test/java/driftchute/node/CallCrossingTest.java
+++ b/src/test/java/driftchute/node/CallCrossingTest.java
@@ -61,7 +61,9 @@
         rig.start();
         rig.await("the watch", () -> !rig.watches.isEmpty());
         assertEquals(202, rig.submit("m1", "once").status());
-        rig.change(43, CourierHarness.host("e1", rig.first, health) + "," + CourierHarness.host("e2", rig.second, "Ready"));
+        rig.change(
+                43,
+                CourierHarness.host("e1", rig.first, health) + "," + CourierHarness.host("e2", rig.second, "Ready"));
         rig.await("the list", () -> rig.hasLogged("e1 " + health));
         rig.first.listen();
         rig.await("its call", () -> !rig.second.requests.isEmpty() || !rig.first.requests.isEmpty());
@@ -77,7 +79,10 @@
         rig.await("the watch", () -> !rig.watches.isEmpty());
         assertEquals(202, rig.submit("m1", "once").status());
         rig.await("its call", () -> sawAt(rig.first, "m1"));
-        rig.change(43, CourierHarness.host("e1", rig.first, "Terminating") + "," + CourierHarness.host("e2", rig.second, "Ready"));
+        rig.change(
+                43,
+                CourierHarness.host("e1", rig.first, "Terminating") + ","
+                        + CourierHarness.host("e2", rig.second, "Ready"));
         rig.await("the list", () -> rig.hasLogged("e1 Terminating"));
         rig.first.requests.get(0).connection().answer(200, "");
         rig.await(
@@ -99,7 +104,10 @@
         rig.first.script((request, connection) -> {});
         rig.start();
         rig.await("the watch", () -> !rig.watches.isEmpty());
-        assertEquals(202, rig.send(CourierHarness.message("m1", kind).replace(LONG, SHORT)).status());
+        assertEquals(
+                202,
+                rig.send(CourierHarness.message("m1", kind).replace(LONG, SHORT))
+                        .status());
         assertEquals(202, rig.submit("m2", kind).status());
         rig.change(43, CourierHarness.host("e1", rig.first, "Ready"));
         rig.await("the call", () -> !rig.first.requests.isEmpty());
@@ -188,7 +196,8 @@
                 final int made = calls;
                 assertEquals(
                         202,
-                        CourierHarness.send(client, CourierHarness.message("before" + made, "once")).status());
+                        CourierHarness.send(client, CourierHarness.message("before" + made, "once"))
+                                .status());
                 rig.await(
                         "its end",
                         () -> rig.first.connections.size() == made && rig.first.connections.get(made - 1).ended);
@@ -201,9 +210,15 @@
                     .orElseThrow();
             final int used = Path.of("/proc/" + courier + "/fd").toFile().list().length;
             limit(courier, Integer.toString(used));
-            assertEquals(202, CourierHarness.send(client, CourierHarness.message("m1", "once")).status());
+            assertEquals(
+                    202,
+                    CourierHarness.send(client, CourierHarness.message("m1", "once"))
+                            .status());
             // Its answer comes in a pass after the one that began the first message's call.
-            assertEquals(202, CourierHarness.send(client, CourierHarness.message("m2", "once")).status());
+            assertEquals(
+                    202,
+                    CourierHarness.send(client, CourierHarness.message("m2", "once"))
+                            .status());
             limit(courier, "4096");
             rig.await("the calls", () -> sawAt(rig.first, "m1") && sawAt(rig.first, "m2"));
             assertEquals(4, rig.first.requests.size());
--- a/src/test/java/driftchute/node/CallNotSentTest.java
+++ b/src/test/java/driftchute/node/CallNotSentTest.java
@@ -90,7 +90,10 @@
             ServiceOnLoop.block(() -> ServiceOnLoop.hasArrived("an answer", rig.first, connection));
             courier.at(courier.clock.nowUs(), () -> {
                 assertTrue(courier.host.endpoints().hasCallsInFlight());
-                rig.change(43, CourierHarness.host("e1", rig.first, "Terminating") + "," + CourierHarness.host("e2", rig.second, "Ready"));
+                rig.change(
+                        43,
+                        CourierHarness.host("e1", rig.first, "Terminating") + ","
+                                + CourierHarness.host("e2", rig.second, "Ready"));
                 ServiceOnLoop.block(() -> ServiceOnLoop.hasArrived("the list", rig.platform, rig.watches.get(0)));
                 courier.blockForRest();
             });
--- a/src/test/java/driftchute/node/CallWaitTest.java
+++ b/src/test/java/driftchute/node/CallWaitTest.java
@@ -102,7 +102,8 @@
         rig.await("the other one's connect", () -> ServiceOnLoop.connecting(rig.first) == 1);
         connection.write(REFUSAL);
         rig.await(
-                "the refusal", () -> courier.isOnLoop(() -> !courier.journaled("m1").isInFlight()));
+                "the refusal",
+                () -> courier.isOnLoop(() -> !courier.journaled("m1").isInFlight()));
         assertFalse(courier.isCalling(), "the other one's connect ends as the wait is told");
     }
 
@@ -190,7 +191,8 @@
 
     private void assertThatTheOtherOneIsHeldBack() {
         rig.await(
-                "the refusal", () -> courier.isOnLoop(() -> !courier.journaled("m1").isInFlight()));
+                "the refusal",
+                () -> courier.isOnLoop(() -> !courier.journaled("m1").isInFlight()));
         assertTrue(
                 courier.isOnLoop(() -> courier.journaled("m2").attempts() == 0),
                 "a call was begun more than the grace after the wait was told");
--- a/src/test/java/driftchute/node/CloseForCapacityTest.java
+++ b/src/test/java/driftchute/node/CloseForCapacityTest.java
@@ -127,7 +127,10 @@
     @Test
     void aNewConnectionAtTheLimitReplacesOneThatNeverSentARequest() throws Exception {
         try (Socket used = rig.connect()) {
-            assertEquals(202, CourierHarness.send(used, CourierHarness.message("first", "safe")).status());
+            assertEquals(
+                    202,
+                    CourierHarness.send(used, CourierHarness.message("first", "safe"))
+                            .status());
             rig.await("the call", () -> rig.first.requests.size() == 1);
             final int before = descriptors().size();
             limit(limitWith(4));
--- a/src/test/java/driftchute/node/DrainConnectingTest.java
+++ b/src/test/java/driftchute/node/DrainConnectingTest.java
@@ -36,7 +36,8 @@
                     .chunk(list(
                             42,
                             whole,
-                            CourierHarness.host("e2", rig.second, "Ready") + (whole ? "" : "," + CourierHarness.host("e1", rig.first, how))));
+                            CourierHarness.host("e2", rig.second, "Ready")
+                                    + (whole ? "" : "," + CourierHarness.host("e1", rig.first, how))));
             rig.await("the list", () -> rig.hasLogged("\"seq\":42"));
             rig.first.listen();
             rig.await("the call", () -> rig.first.requests.size() + rig.second.requests.size() == 1);
--- a/src/test/java/driftchute/node/FakeServer.java
+++ b/src/test/java/driftchute/node/FakeServer.java
@@ -19,16 +19,20 @@
 public final class FakeServer implements AutoCloseable {
     /** A request that has arrived completely. */
     public record Request(String line, Map<String, String> headers, byte[] body, Connection connection, long atNs) {
+        /** The body as text. */
         public String text() {
             return new String(body, StandardCharsets.UTF_8);
         }
 
+        /** The value of a header, or null. */
         public String header(final String name) {
             return headers.get(name.toLowerCase(Locale.ROOT));
         }
     }
 
+    /** The requests received, in order. */
     public final List<Request> requests = new CopyOnWriteArrayList<>();
+
     final List<Connection> connections = new CopyOnWriteArrayList<>();
     private final int port;
     private final List<Socket> fillers = new CopyOnWriteArrayList<>();
@@ -36,6 +40,7 @@
     private Thread acceptor;
     private volatile BiConsumer<Request, Connection> script;
 
+    /** Starts a server that handles each request by the script. */
     public FakeServer(final BiConsumer<Request, Connection> script) throws IOException {
         this.script = script;
         this.server = bind(0, 50);
@@ -84,10 +89,12 @@
         acceptor = daemon(() -> accept(server));
     }
 
+    /** Sets the script for the requests from now on. */
     public void script(final BiConsumer<Request, Connection> next) {
         script = next;
     }
 
+    /** The address as {@code host:port}. */
     public String address() {
         return "127.0.0.1:" + port;
     }
@@ -144,6 +151,7 @@
         return new Request(line, headers, body, connection, System.nanoTime());
     }
 
+    /** Reads a line without its end. */
     public static String line(final InputStream in) throws IOException {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (int next = in.read(); next >= 0 && next != '\n'; next = in.read()) {
@@ -168,6 +176,7 @@
             this.socket = socket;
         }
 
+        /** Sends an answer with a body. */
         public void answer(final int status, final String body, final String... headers) {
             final StringBuilder head = new StringBuilder("HTTP/1.1 " + status + " X\r\n");
             for (final String header : headers) {
@@ -176,6 +185,7 @@
             write(head + "Content-Length: " + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body);
         }
 
+        /** Sends text. */
         public void write(final String text) {
             try {
                 socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
@@ -184,6 +194,7 @@
             }
         }
 
+        /** Sends a chunk of a chunked answer. */
         public void chunk(final String text) {
             write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
         }
--- a/src/test/java/driftchute/node/HandoverCrossingTest.java
+++ b/src/test/java/driftchute/node/HandoverCrossingTest.java
@@ -296,7 +296,10 @@
 
     /** Messages reported to the decisions: beyond the store's limit they refuse at once. */
     private long refused() {
-        return FULL - own.openMessages().stream().filter(held -> held.notice() == null).count();
+        return FULL
+                - own.openMessages().stream()
+                        .filter(held -> held.notice() == null)
+                        .count();
     }
 
     private void turn() {
--- a/src/test/java/driftchute/node/HandoverKillTest.java
+++ b/src/test/java/driftchute/node/HandoverKillTest.java
@@ -47,7 +47,9 @@
         old = rig.startBeside();
         next = rig.newest();
         kept = rig.connect();
-        assertEquals(200, CourierHarness.send(kept, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
+        assertEquals(
+                200,
+                CourierHarness.send(kept, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
     }
 
     /**
--- a/src/test/java/driftchute/node/IdleCloseCrossingTest.java
+++ b/src/test/java/driftchute/node/IdleCloseCrossingTest.java
@@ -68,7 +68,8 @@
                 folder.resolve("state").toString()));
         onLoop(() -> {
                     final OperatorOrders orders = new OperatorOrders(config.state());
-                    host = new DeliveryService(config, loop, clock, new Journal(config.state(), config.diskBytes()), orders);
+                    host = new DeliveryService(
+                            config, loop, clock, new Journal(config.state(), config.diskBytes()), orders);
                     host.start();
                     host.takeOver();
                     intake = new ClientServer(config, clock, host, orders);
@@ -251,7 +252,8 @@
                 Socket third = connect()) {
             assertEquals(200, CourierHarness.send(third, UP).status());
             assertEquals(-1, older.getInputStream().read());
-            older.getOutputStream().write(CourierHarness.message("older", "safe").getBytes(StandardCharsets.ISO_8859_1));
+            older.getOutputStream()
+                    .write(CourierHarness.message("older", "safe").getBytes(StandardCharsets.ISO_8859_1));
             rig.await("its reset", () -> {
                 try {
                     older.getOutputStream().write('x');
--- a/src/test/java/driftchute/node/JournalCrossingTest.java
+++ b/src/test/java/driftchute/node/JournalCrossingTest.java
@@ -67,7 +67,9 @@
         try (Journal third = Journal.open(folder, DISK_BYTES)) {
             assertEquals(
                     List.of("second"),
-                    third.pollPredecessors().takenOver().stream().map(one -> one.id).toList());
+                    third.pollPredecessors().takenOver().stream()
+                            .map(one -> one.id)
+                            .toList());
             assertFalse(third.hasPredecessors());
             assertEquals(List.of("first", "second"), ids(third));
             assertEquals(List.of("journal"), names());
--- a/src/test/java/driftchute/node/JournalFiller.java
+++ b/src/test/java/driftchute/node/JournalFiller.java
@@ -11,7 +11,8 @@
     public static int fill(final Path folder, final long diskBytes, final int bodyBytes) throws IOException {
         int taken = 0;
         try (Journal journal = Journal.open(folder, diskBytes)) {
-            while (journal.accept(new JournaledMessage("f" + taken, "safe", null, 7, Long.MAX_VALUE / 2, new byte[bodyBytes]))) {
+            while (journal.accept(
+                    new JournaledMessage("f" + taken, "safe", null, 7, Long.MAX_VALUE / 2, new byte[bodyBytes]))) {
                 taken++;
             }
         }
--- a/src/test/java/driftchute/node/JournalRecoveryTest.java
+++ b/src/test/java/driftchute/node/JournalRecoveryTest.java
@@ -26,7 +26,8 @@
         final Path at = folder.resolve("history");
         try (Journal journal = Journal.open(at, DISK_BYTES)) {
             for (int n = 0; n < 4; n++) {
-                final JournaledMessage held = new JournaledMessage("m" + n, "keyed", "key-" + n, 7, 5_000_000, new byte[20 + n]);
+                final JournaledMessage held =
+                        new JournaledMessage("m" + n, "keyed", "key-" + n, 7, 5_000_000, new byte[20 + n]);
                 journal.accept(held);
                 journal.beginAttempt(held, 1_000 + n, "a");
                 journal.endAttempt(held, n % 2 == 0);
--- a/src/test/java/driftchute/node/JournalTest.java
+++ b/src/test/java/driftchute/node/JournalTest.java
@@ -76,7 +76,8 @@
     @Test
     void keepsOpenMessagesAndDropsCompletedOnes() throws IOException {
         try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-            final JournaledMessage sent = new JournaledMessage("sent", "keyed", "k", 7, 5_000_000, new byte[] {1, 2, 3});
+            final JournaledMessage sent =
+                    new JournaledMessage("sent", "keyed", "k", 7, 5_000_000, new byte[] {1, 2, 3});
             final JournaledMessage over = held("over", 3);
             final JournaledMessage ended = held("ended", 3);
             Stream.of(sent, over, ended).forEach(one -> assertTrue(journal.accept(one)));
@@ -96,7 +97,8 @@
         assertEquals(2, past.attempts());
         assertTrue(past.mayHaveExecuted(), "the attempt that was out may have run");
         assertEquals("b", past.executionZone());
-        assertEquals(2000, clock.toWallUs(past.firstExecutionUs()), 50_000, "the refused attempt before does not count");
+        assertEquals(
+                2000, clock.toWallUs(past.firstExecutionUs()), 50_000, "the refused attempt before does not count");
         assertEquals(new JournaledMessage.Notice(false, 700), live.get(1).notice());
     }
 
@@ -206,7 +208,10 @@
         next.complete("late");
         old.complete(out);
         old.complete(waiting);
-        assertEquals(List.of("waiting"), next.pollPredecessors().completed(), "its client went before it heard that it was taken");
+        assertEquals(
+                List.of("waiting"),
+                next.pollPredecessors().completed(),
+                "its client went before it heard that it was taken");
         assertTrue(next.hasPredecessors());
         old.close();
         assertEquals(List.of(), ids(next.pollPredecessors().takenOver()), "what has ended here is not taken up again");
@@ -244,7 +249,9 @@
             assertEquals(
                     List.of("out", "owed"),
                     third.openMessages().stream().map(one -> one.id).sorted().toList());
-            assertTrue(third.openMessages().stream().allMatch(JournaledMessage::isInFlight), "calls that were out at either may have run");
+            assertTrue(
+                    third.openMessages().stream().allMatch(JournaledMessage::isInFlight),
+                    "calls that were out at either may have run");
             assertFalse(third.hasPredecessors());
         }
         assertEquals(2, reopened().size());
@@ -252,8 +259,8 @@
 
     @Test
     void destinationStatesAreReadByTheSuccessor() throws IOException {
-        final Courier.DestinationState memory =
-                new Courier.DestinationState(7, 3, Courier.CircuitState.SLOW_START, 1, 2, 3, 4, 5.5, 6, 7, 8, 9, 0.5, 11, 12);
+        final Courier.DestinationState memory = new Courier.DestinationState(
+                7, 3, Courier.CircuitState.SLOW_START, 1, 2, 3, 4, 5.5, 6, 7, 8, 9, 0.5, 11, 12);
         try (Journal old = Journal.open(folder, DISK_BYTES)) {
             old.handOver(List.of(memory));
             try (Journal next = Journal.open(folder, DISK_BYTES)) {
--- a/src/test/java/driftchute/node/LastTurnTest.java
+++ b/src/test/java/driftchute/node/LastTurnTest.java
@@ -77,7 +77,9 @@
                 assertEquals(503, last.status(), "half a request: refused, " + rig.log);
                 assertTrue(last.head().contains("connection: close"), last.head());
                 assertEquals(-1, half.getInputStream().read(), "the end, not a reset");
-                assertTrue(CourierHarness.read(queued.getInputStream()).status() > 0, "what stood in the queue is answered");
+                assertTrue(
+                        CourierHarness.read(queued.getInputStream()).status() > 0,
+                        "what stood in the queue is answered");
             }
             assertEnded(process);
             rig.await("its last lines", () -> rig.hasLogged("listener_closed") && rig.hasLogged("hung_up"));
@@ -130,7 +132,8 @@
      */
     @ParameterizedTest
     @CsvSource({"once,true", "once,false", "safe,true", "safe,false"})
-    void theMessagesOfACallInFlightAreSentAgainOnlyWhereThatIsSafe(final String kind, final boolean isKill) throws Exception {
+    void theMessagesOfACallInFlightAreSentAgainOnlyWhereThatIsSafe(final String kind, final boolean isKill)
+            throws Exception {
         rig.hosts = CourierHarness.host("e1", rig.first, "Terminating");
         rig.first.script((request, connection) -> {});
         rig.start();
--- a/src/test/java/driftchute/node/LibraryLinesTest.java
+++ b/src/test/java/driftchute/node/LibraryLinesTest.java
@@ -48,7 +48,8 @@
             try (Socket client = rig.connect()) {
                 assertEquals(
                         200,
-                        CourierHarness.send(client, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                        CourierHarness.send(client, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+                                .status());
             }
         }
     }
--- a/src/test/java/driftchute/node/ListHandoverTest.java
+++ b/src/test/java/driftchute/node/ListHandoverTest.java
@@ -60,7 +60,8 @@
     /** The endpoint called by the old process drains, and another one replaces it. */
     private void change() {
         final int from = rig.log.size();
-        final String entries = CourierHarness.host("e1", rig.first, "Terminating") + "," + CourierHarness.host("e2", rig.second, "Ready");
+        final String entries = CourierHarness.host("e1", rig.first, "Terminating") + ","
+                + CourierHarness.host("e2", rig.second, "Ready");
         rig.watches.forEach(watch -> speak(watch, "{\"seq\":43,\"whole\":false,\"hosts\":[" + entries + "]}\n"));
         rig.await("the change", () -> rig.log.stream().skip(from).anyMatch(line -> line.contains("\"seq\":43")));
     }
@@ -121,8 +122,9 @@
         rig.platform.script((request, connection) -> {
             if (request.line().contains("after=41")) {
                 connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                connection.chunk("{\"seq\":43,\"whole\":false,\"hosts\":[" + CourierHarness.host("e1", rig.first, "Terminating")
-                        + "," + CourierHarness.host("e2", rig.second, "Ready") + "]}\n");
+                connection.chunk(
+                        "{\"seq\":43,\"whole\":false,\"hosts\":[" + CourierHarness.host("e1", rig.first, "Terminating")
+                                + "," + CourierHarness.host("e2", rig.second, "Ready") + "]}\n");
             }
         });
         // The list as the successor knows it from its configuration.
--- a/src/test/java/driftchute/node/ListWatcherTest.java
+++ b/src/test/java/driftchute/node/ListWatcherTest.java
@@ -148,7 +148,8 @@
         await(
                 "the first failures",
                 () -> System.nanoTime() - agents.get(paths.size() - 1).lastWordNs
-                        > TimeUnit.MICROSECONDS.toNanos(ListWatcher.SILENCE_TIMEOUT_US + ListWatcher.REQUEST_INTERVAL_US / 2));
+                        > TimeUnit.MICROSECONDS.toNanos(
+                                ListWatcher.SILENCE_TIMEOUT_US + ListWatcher.REQUEST_INTERVAL_US / 2));
         for (int i = 0; i < paths.size(); i++) {
             final Agent agent = agents.get(i);
             if (paths.get(i).get(1) == Act.REFUSES || paths.get(i).get(1) == Act.IGNORES) {
--- a/src/test/java/driftchute/node/ManagementTest.java
+++ b/src/test/java/driftchute/node/ManagementTest.java
@@ -96,7 +96,8 @@
 
     @Test
     void aDisabledEndpointGetsNothingUntilItIsEnabled() throws Exception {
-        rig.hosts = CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
+        rig.hosts =
+                CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
         rig.start();
         rig.await("the watch", () -> rig.watches.size() == 1);
         assertOk(rig.command("set-down e1"));
@@ -145,9 +146,14 @@
         rig.start();
         try (Socket busy = rig.connect();
                 Socket idle = rig.connect()) {
-            assertEquals(202, CourierHarness.send(busy, CourierHarness.message("before", "safe")).status());
             assertEquals(
-                    200, CourierHarness.send(idle, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
+                    202,
+                    CourierHarness.send(busy, CourierHarness.message("before", "safe"))
+                            .status());
+            assertEquals(
+                    200,
+                    CourierHarness.send(idle, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                            .status());
             assertOk(rig.command("drain-on"));
             assertEquals(503, up().status(), "at once");
             final CourierHarness.Answer late = CourierHarness.send(busy, CourierHarness.message("late", "safe"));
--- a/src/test/java/driftchute/node/NodeTest.java
+++ b/src/test/java/driftchute/node/NodeTest.java
@@ -58,7 +58,8 @@
         assertEquals(200, rig.send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
         assertEquals(
                 202,
-                rig.send(CourierHarness.message("m1", "keyed", "\u00ff\u0000 any bytes")).status());
+                rig.send(CourierHarness.message("m1", "keyed", "\u00ff\u0000 any bytes"))
+                        .status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
         final FakeServer.Request call = rig.first.requests.get(0);
         assertEquals("POST /inbox HTTP/1.1", call.line());
@@ -167,7 +168,10 @@
         try (Socket kept = rig.connect();
                 Socket idle = rig.connect();
                 Socket half = rig.connect()) {
-            assertEquals(202, CourierHarness.send(kept, CourierHarness.message("m1", "safe")).status());
+            assertEquals(
+                    202,
+                    CourierHarness.send(kept, CourierHarness.message("m1", "safe"))
+                            .status());
             rig.await("the call", () -> rig.first.requests.size() == 1);
             for (final Socket socket : List.of(idle, half)) {
                 assertEquals(200, CourierHarness.send(socket, UP).status());
@@ -179,7 +183,8 @@
             assertEquals(202, late.status(), "an open connection is still served");
             assertTrue(late.head().contains("connection: close"), late.head());
             rig.await("half of the time", () -> System.nanoTime() - termNs > TimeUnit.MILLISECONDS.toNanos(1200));
-            final CourierHarness.Answer refused = CourierHarness.send(half, CourierHarness.message("m3", "safe").replace("Length: 5", "Length: 50"));
+            final CourierHarness.Answer refused = CourierHarness.send(
+                    half, CourierHarness.message("m3", "safe").replace("Length: 5", "Length: 50"));
             assertTrue(refused.status() == 503 || refused.status() == 408, "a half request's end: " + refused);
             assertEquals(-1, half.getInputStream().read());
             assertEquals(-1, idle.getInputStream().read(), "in the end an idle connection is closed");
@@ -293,7 +298,8 @@
     @Test
     void aRequestedWaitAppliesToTheWholeDestination() throws IOException {
         final long waitMs = 1500;
-        rig.hosts = CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
+        rig.hosts =
+                CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
         final List<Long> toldNs = new ArrayList<>();
         final List<Long> laterNs = new ArrayList<>();
         final var script =
@@ -374,7 +380,8 @@
         assertEquals(202, rig.submit("patient", "safe").status());
         assertEquals(
                 202,
-                rig.send(CourierHarness.message("hasty", "brief").replace("20000", "4000")).status());
+                rig.send(CourierHarness.message("hasty", "brief").replace("20000", "4000"))
+                        .status());
         rig.change(42, CourierHarness.host("e1", rig.first, "Ready"));
         rig.await("the call", () -> rig.first.requests.size() == 1);
         final FakeServer.Request call = rig.first.requests.get(0);
@@ -390,7 +397,8 @@
 
     @Test
     void nothingNewGoesToAnEndpointThatDrains() throws IOException {
-        rig.hosts = CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
+        rig.hosts =
+                CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
         rig.start();
         rig.await("the watch", () -> !rig.watches.isEmpty());
         // Indented and in pieces: a list may come on several lines and in several reads.
@@ -495,7 +503,9 @@
     void theLargestBodyIsTaken() throws IOException {
         rig.start();
         assertEquals(
-                202, rig.send(CourierHarness.message("m1", "safe", "x".repeat(1 << 16))).status());
+                202,
+                rig.send(CourierHarness.message("m1", "safe", "x".repeat(1 << 16)))
+                        .status());
         rig.await("the call", () -> rig.first.requests.size() == 1);
         assertEquals(1 << 16, rig.first.requests.get(0).body().length);
     }
@@ -504,8 +514,8 @@
     void requestsThatArriveTogetherAreAnsweredInOrder() throws IOException {
         rig.start();
         try (Socket socket = rig.connect()) {
-            final String three =
-                    CourierHarness.message("m1", "safe") + "GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + CourierHarness.message("m2", "unheard");
+            final String three = CourierHarness.message("m1", "safe") + "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+                    + CourierHarness.message("m2", "unheard");
             assertEquals(202, CourierHarness.send(socket, three).status());
             assertEquals(200, CourierHarness.read(socket.getInputStream()).status());
             assertEquals(404, CourierHarness.read(socket.getInputStream()).status());
--- a/src/test/java/driftchute/node/NoticeCrossingTest.java
+++ b/src/test/java/driftchute/node/NoticeCrossingTest.java
@@ -27,7 +27,8 @@
     private void begin(final BiConsumer<String, FakeServerOnLoop.Peer> script) {
         confirmed.clear();
         platform = new FakeServerOnLoop(loop, script);
-        notices = new NoticeSender(platform.address(), loop.mine(), heard -> heard.forEach(held -> confirmed.add(held.id)));
+        notices = new NoticeSender(
+                platform.address(), loop.mine(), heard -> heard.forEach(held -> confirmed.add(held.id)));
     }
 
     @AfterEach
--- a/src/test/java/driftchute/node/NoticeSenderTest.java
+++ b/src/test/java/driftchute/node/NoticeSenderTest.java
@@ -25,7 +25,8 @@
 
     private void begin(final BiConsumer<String, FakeServerOnLoop.Peer> script) {
         platform = new FakeServerOnLoop(loop, script);
-        notices = new NoticeSender(platform.address(), loop.mine(), heard -> heard.forEach(held -> confirmed.add(held.id)));
+        notices = new NoticeSender(
+                platform.address(), loop.mine(), heard -> heard.forEach(held -> confirmed.add(held.id)));
     }
 
     @AfterEach
--- a/src/test/java/driftchute/node/OutageTest.java
+++ b/src/test/java/driftchute/node/OutageTest.java
@@ -48,7 +48,8 @@
         Outage(final Form form, final Path folder) throws IOException {
             this.form = form;
             this.rig = new CourierHarness(Files.createDirectories(folder));
-            rig.hosts = CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
+            rig.hosts = CourierHarness.host("e1", rig.first, "Ready") + ","
+                    + CourierHarness.host("e2", rig.second, "Ready");
             rig.start();
             rig.await("the watch", () -> !rig.watches.isEmpty());
         }
@@ -81,8 +82,8 @@
 
         private void tell(final FakeServer.Connection connection) {
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            connection.chunk(
-                    "{\"seq\":42,\"whole\":false,\"hosts\":[" + CourierHarness.host("e1", rig.first, "Terminating") + "]}\n");
+            connection.chunk("{\"seq\":42,\"whole\":false,\"hosts\":["
+                    + CourierHarness.host("e1", rig.first, "Terminating") + "]}\n");
         }
 
         /** Calls to that endpoint that arrived at least so many ms after the return. */
--- a/src/test/java/driftchute/node/ReloadTest.java
+++ b/src/test/java/driftchute/node/ReloadTest.java
@@ -52,7 +52,8 @@
         assertEquals(202, rig.submit("m1", "safe").status());
         rig.await("the call", () -> rig.second.requests.size() == 1);
         assertTrue(rig.first.requests.isEmpty(), "the new address does not list it");
-        rig.change(4, CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Gone"));
+        rig.change(
+                4, CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Gone"));
         rig.await("a change from the new address", () -> {
             final String id = "m" + System.nanoTime();
             try {
--- a/src/test/java/driftchute/node/ShutdownTest.java
+++ b/src/test/java/driftchute/node/ShutdownTest.java
@@ -139,7 +139,9 @@
         rig.await("its call", () -> rig.first.requests.size() == 1);
         terminate();
         assertTrue(
-                owed().stream().allMatch(one -> !one.isInFlight() && one.firstExecutionWallUs() != JournaledMessage.NEVER)
+                owed().stream()
+                                .allMatch(one ->
+                                        !one.isInFlight() && one.firstExecutionWallUs() != JournaledMessage.NEVER)
                         || owed().isEmpty() && rig.noticed("m0", "undeliverable"),
                 "recorded as what it is");
         rig.start();
--- a/src/test/java/driftchute/node/SlowExitMain.java
+++ b/src/test/java/driftchute/node/SlowExitMain.java
@@ -12,6 +12,7 @@
 
     private SlowExitMain() {}
 
+    /** Starts the program. */
     public static void main(final String[] args) {
         final Path state = Path.of(System.getenv("PROXY_STATE"));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
--- a/src/test/java/driftchute/node/UpgradeTest.java
+++ b/src/test/java/driftchute/node/UpgradeTest.java
@@ -151,7 +151,8 @@
 
     @Test
     void ordersApplyAcrossAnUpgradeWhicheverProcessReceivedThem() throws Exception {
-        rig.hosts = CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
+        rig.hosts =
+                CourierHarness.host("e1", rig.first, "Ready") + "," + CourierHarness.host("e2", rig.second, "Ready");
         rig.start();
         final int oldMgmt = rig.mgmtPort();
         final Process old = rig.startBeside();
