--- a/src/test/java/driftchute/node/ClosePipelinedTest.java
+++ b/src/test/java/driftchute/node/ClosePipelinedTest.java
@@ -168,12 +168,20 @@
 
     /** Writes until everything is written, or nothing more can be and the courier has read all that it will read. */
     private static void flood(final SocketChannel channel, final ByteBuffer bytes) throws IOException {
+        String before;
         String unread = "";
-        for (int same = 0; same < FULL_ROUNDS; ) {
+        do {
+            before = unread;
+            writeUntilFull(channel, bytes);
+            unread = unreadBy(channel);
+        } while (!unread.equals(before));
+    }
+
+    private static void writeUntilFull(final SocketChannel channel, final ByteBuffer bytes) throws IOException {
+        int fullRounds = 0;
+        while (fullRounds < FULL_ROUNDS) {
             final boolean hasWritten = bytes.hasRemaining() && channel.write(bytes) > 0;
-            final String now = unreadBy(channel);
-            same = hasWritten || !now.equals(unread) ? 0 : same + 1;
-            unread = now;
+            fullRounds = hasWritten ? 0 : fullRounds + 1;
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
     }
--- a/src/test/java/driftchute/node/IdleCloseCrossingTest.java
+++ b/src/test/java/driftchute/node/IdleCloseCrossingTest.java
@@ -97,7 +97,9 @@
     /** On the loop: writes, and returns once the bytes are unread at the courier's socket. */
     private static void leaveUnread(final Socket socket, final String raw) throws IOException {
         socket.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
+        final long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(CourierHarness.PATIENCE_S);
         while (unread(socket).equals(NOTHING)) {
+            assertTrue(System.nanoTime() < deadlineNs, "the bytes do not arrive: the connection is closed");
             Thread.onSpinWait();
         }
     }
