--- a/src/main/java/driftchute/node/EndpointClient.java
+++ b/src/main/java/driftchute/node/EndpointClient.java
@@ -466,7 +466,12 @@
 
     /** True while calls are in flight. */
     boolean hasCallsInFlight() {
-        return !calls.isEmpty();
+        return callsInFlight() > 0;
+    }
+
+    /** Number of calls in flight, including those that still wait for a connection. */
+    int callsInFlight() {
+        return calls.size();
     }
 
     /** Ends all calls. Those that were written may have been executed. */
--- a/src/test/java/driftchute/node/CallNotSentTest.java
+++ b/src/test/java/driftchute/node/CallNotSentTest.java
@@ -117,6 +117,10 @@
         courier.offerSoon("m0", "once", ServiceOnLoop.LIFE_US);
         final FakeServer.Connection connection = courier.call(0).connection();
         courier.offerSoon("m1", "once", ServiceOnLoop.LIFE_US);
+        // The decisions space the calls to a destination, so this one does not begin at once.
+        rig.await(
+                "its call",
+                () -> courier.isOnLoop(() -> courier.host.endpoints().callsInFlight() == 2));
         rig.change(
                 43,
                 CourierHarness.host("e1", rig.first, drained ? "Terminating" : "Ready") + ","
--- a/src/test/java/driftchute/node/HandoverKillTest.java
+++ b/src/test/java/driftchute/node/HandoverKillTest.java
@@ -126,7 +126,7 @@
     void theOldProcessIsKilledBetweenItsRelinquishmentAndTheSuccessorsStart() throws Exception {
         signal(next, "STOP");
         CourierHarness.terminate(old);
-        rig.await("the letting go", () -> rig.hasLogged("another process takes over"));
+        rig.await("the letting go", () -> rig.hasLogged("handing over to another process"));
         final boolean taken = isTakenOn("late");
         kill(old);
         final long safe = calls("safe");
@@ -144,7 +144,7 @@
     void theSuccessorIsKilledBetweenTheRelinquishmentAndItsStart() throws Exception {
         signal(next, "STOP");
         CourierHarness.terminate(old);
-        rig.await("the letting go", () -> rig.hasLogged("another process takes over"));
+        rig.await("the letting go", () -> rig.hasLogged("handing over to another process"));
         kill(next);
         final boolean taken = isTakenOn("late");
         assertTrue(old.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
@@ -165,7 +165,7 @@
     @Test
     void theSuccessorIsKilledWhileItServesAndTheOldProcessFinishesItsCalls() throws Exception {
         CourierHarness.terminate(old);
-        rig.await("the next listens", () -> rig.hasLogged("the next process listens"));
+        rig.await("the next listens", () -> rig.hasLogged("the successor listens"));
         kill(next);
         held.forEach(request -> request.connection().answer(200, ""));
         assertTrue(old.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
@@ -180,7 +180,7 @@
     @Test
     void theOldProcessIsStoppedWhileTheSuccessorServesAndThenOnlyRecords() throws Exception {
         CourierHarness.terminate(old);
-        rig.await("the next listens", () -> rig.hasLogged("the next process listens"));
+        rig.await("the next listens", () -> rig.hasLogged("the successor listens"));
         rig.await("the old one's listener", () -> rig.hasLogged("listener_closed"));
         signal(old, "STOP");
         write("late");
@@ -192,7 +192,7 @@
         final boolean taken = isAnswered();
         rig.await("the new one's", () -> calls("new") == 1);
         assertTrue(old.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
-        rig.await("its end to be seen", () -> rig.hasLogged("the earlier process is gone"));
+        rig.await("its end to be seen", () -> rig.hasLogged("the predecessor process has ended"));
         assertEquals(1, calls("once"));
         assertSent("late", taken);
     }
--- a/src/test/java/driftchute/node/StopBeforeServingTest.java
+++ b/src/test/java/driftchute/node/StopBeforeServingTest.java
@@ -73,7 +73,7 @@
         final Process old = startAndEndTheNextSlowly();
         CourierHarness.terminate(old);
         assertTrue(old.waitFor(CourierHarness.PATIENCE_S, TimeUnit.SECONDS));
-        assertFalse(rig.hasLogged("another process takes over"), rig.log.toString());
+        assertFalse(rig.hasLogged("handing over to another process"), rig.log.toString());
         assertEquals(1, ready(), "one that ends takes nothing up: " + rig.log);
     }
 
--- a/src/test/java/driftchute/node/UpgradeTest.java
+++ b/src/test/java/driftchute/node/UpgradeTest.java
@@ -98,7 +98,7 @@
         try (Socket kept = rig.connect()) {
             assertEquals(200, CourierHarness.send(kept, UP).status());
             CourierHarness.terminate(old);
-            rig.await("the new one listens", () -> rig.hasLogged("the next process listens"));
+            rig.await("the new one listens", () -> rig.hasLogged("the successor listens"));
             final CourierHarness.Answer late = CourierHarness.send(kept, CourierHarness.message("late", "safe"));
             assertEquals(202, late.status(), "an open connection of the old one is still served");
             assertTrue(late.head().contains("connection: close"), late.head());
@@ -110,7 +110,7 @@
         }
         rig.await("all", () -> ids.stream().allMatch(id -> calls(id) > 0));
         awaitEnd(old);
-        rig.await("the end of the old one to be seen", () -> rig.hasLogged("the earlier process is gone"));
+        rig.await("the end of the old one to be seen", () -> rig.hasLogged("the predecessor process has ended"));
         ids.forEach(id -> assertEquals(1, calls(id), id));
         assertTrue(rig.notices.isEmpty(), rig.notices.toString());
         assertFalse(Files.exists(folder.resolve("state/journal")), "the old journal is taken up");
@@ -222,7 +222,7 @@
         rig.await("its call", () -> calls("m1") == 1);
         final Process first = rig.startBeside();
         CourierHarness.terminate(first);
-        rig.await("the second listens", () -> rig.hasLogged("the next process listens"));
+        rig.await("the second listens", () -> rig.hasLogged("the successor listens"));
         final Process second = rig.startBeside();
         CourierHarness.terminate(second);
         awaitEnd(second);
