--- a/src/main/java/driftchute/fleet/lane/Accounts.java
+++ b/src/main/java/driftchute/fleet/lane/Accounts.java
@@ -3,9 +3,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Accounts by a fixed 64-bit hash of their names, so that every courier names the same account alike whatever the
- * order of its settings: FNV-1a (draft-eastlake-fnv) and then the finisher of MurmurHash3, since FNV alone hardly
- * moves the high bits of short names.
+ * A fixed 64-bit hash of account names, so that every courier identifies an account alike whatever the order of its
+ * settings. FNV-1a (draft-eastlake-fnv) followed by the finisher of MurmurHash3, because FNV alone hardly changes the
+ * high bits for short names.
  */
 public final class Accounts {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
@@ -17,7 +17,7 @@
 
     private Accounts() {}
 
-    /** The account of this name: a tenant's, a client's, a connection's. */
+    /** The account of this name: that of a tenant, a client or a connection. */
     public static long hash(final String name) {
         long hash = FNV_OFFSET;
         for (final byte next : name.getBytes(StandardCharsets.UTF_8)) {
@@ -26,7 +26,7 @@
         return mix(hash);
     }
 
-    /** Spreads 64 bits over 64 bits, one to one. */
+    /** Mixes 64 bits by a bijection. */
     static long mix(final long bits) {
         long mixed = (bits ^ bits >>> HALF) * MIX_1;
         mixed = (mixed ^ mixed >>> HALF) * MIX_2;
--- a/src/main/java/driftchute/fleet/lane/Allocator.java
+++ b/src/main/java/driftchute/fleet/lane/Allocator.java
@@ -7,11 +7,14 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 
-/** The allocator's side: from all couriers' demand a level for each destination, told to those that send there. */
+/**
+ * The allocator's side: computes a shedding level for each destination from all couriers' demand, and sends it to the
+ * couriers that use that destination.
+ */
 final class Allocator {
-    /** How long the same accounts bear the burden: longer than a client's repeats, short against its patience. */
+    /** How long the same accounts are shed, ms: longer than a client's retries, short compared to its patience. */
     static final long EPOCH_MS = 10_000;
-    /** Epochs that another allocator's clock may be ahead, a minute; what is beyond is no clock's. */
+    /** Maximum distance of another allocator's clock, in epochs (a minute). Greater ones are invalid. */
     private static final long MOST_AHEAD = 6;
 
     private final Lanes lanes;
@@ -25,10 +28,10 @@
     private long epoch;
 
     /**
-     * The allocator of a fleet of so many couriers.
+     * Creates the allocator of a fleet of so many couriers.
      *
      * @param token the fencing token under which it decides
-     * @param sequence numbers what it says, each higher than the last
+     * @param sequence numbers its messages in increasing order
      */
     Allocator(
             final Lanes lanes, final int couriers, final long token, final LongSupplier sequence, final Events events) {
@@ -44,7 +47,7 @@
         return token == otherToken && lanes == otherLanes;
     }
 
-    /** A courier tells its demand; of a destination whose limit is unknown nothing is kept. */
+    /** Handles a courier's demand. Nothing is stored for a destination whose limit is unknown. */
     void demand(final int from, final DemandMessage message, final double limit, final long untilUs) {
         final boolean ours =
                 message.digest() == lanes.digest() && message.tenths().size() == lanes.count();
@@ -54,7 +57,8 @@
     }
 
     /**
-     * Decides on all destinations and tells the couriers that send there; {@code heard}: where a new one goes on from.
+     * Decides on all destinations and sends the levels to the couriers that use them. {@code heard}: levels of an
+     * earlier allocator, which new ones continue.
      */
     void decide(final Moment now, final Capacity capacity, final Map<Long, HeardLevel> heard, final Outbox out) {
         table.expire(now.monoUs());
--- a/src/main/java/driftchute/fleet/lane/Allotment.java
+++ b/src/main/java/driftchute/fleet/lane/Allotment.java
@@ -1,12 +1,12 @@
 package driftchute.fleet.lane;
 
-/** Splits a limit over lanes: guaranteed shares first, what they leave by priority. Rates in messages a second. */
+/** Divides a limit among lanes: guaranteed shares first, the remainder by priority. Rates in messages per second. */
 final class Allotment {
     private Allotment() {}
 
     /**
-     * Each lane gets the lesser of its demand and its share of the limit; what these leave of {@code fill} x limit
-     * goes to the lanes in order, up to their demand.
+     * Each lane gets the lesser of its demand and its share of the limit. The remainder of {@code fill} x limit goes to
+     * the lanes in order, up to their demand.
      */
     static double[] of(final double[] demand, final double[] shares, final double limit, final double fill) {
         final double[] allotted = new double[demand.length];
--- a/src/main/java/driftchute/fleet/lane/BlockMessage.java
+++ b/src/main/java/driftchute/fleet/lane/BlockMessage.java
@@ -6,9 +6,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * The latest block that its sender holds. Nobody speaks for another, so no courier can make up a majority.
+ * The latest lane configuration of its sender. No courier reports another's, so that none can fake a majority.
  *
- * @param asks the sender has not heard which block the receiver holds
+ * @param asks the sender has not heard which configuration the receiver has
  */
 record BlockMessage(int version, int digest, boolean asks) implements Message {
     static final int TYPE = 0x52;
@@ -16,7 +16,7 @@
     static Message read(final ByteBuffer body) throws MalformedMessageException {
         final int asks = body.get();
         if (asks < 0 || asks > 1) {
-            throw new MalformedMessageException("no yes or no: " + asks);
+            throw new MalformedMessageException("invalid boolean: " + asks);
         }
         return new BlockMessage((int) LaneBytes.atMost(Integer.MAX_VALUE, body), body.getInt(), asks == 1);
     }
--- a/src/main/java/driftchute/fleet/lane/BlockVersions.java
+++ b/src/main/java/driftchute/fleet/lane/BlockVersions.java
@@ -12,16 +12,19 @@
 import java.util.Map;
 
 /**
- * Which block of lanes is in force while a change is rolled through the fleet: a new one comes into force once a
- * majority of the configured couriers holds its version or a later one; until then the stricter of the two holds
+ * Decides which lane configuration is in force while a change is rolled out: a new one comes into force once a majority
+ * of the configured couriers has its version or a later one. Until then the stricter of the two applies
  * (docs/fleet-lanes.md).
  */
 public final class BlockVersions implements Part, Rider {
-    /** When a change is told to all, after it: at 30% loss, one peer in a hundred has missed all four. */
+    /** When a change is sent to all, after it occurred: with 30% loss, one peer in a hundred has missed all four. */
     private static final long[] TOLD_AT_US = {0, 1_000_000, 3_000_000, 7_000_000};
-    /** Rides that seldom cost 3 to 5 bytes a second, whatever the fleet's size. */
+    /** Interval of gossip about versions, us. It costs 3 to 5 bytes per second, whatever the fleet's size. */
     private static final long RIDE_US = 2_500_000;
-    /** Type and length before a body (PROTOCOL-irishead.md sets the datagram; docs/one-fleet.md the frame). */
+    /**
+     * Size of the type and length before a body, bytes (PROTOCOL-irishead.md for the datagram; docs/one-fleet.md for
+     * the frame).
+     */
     private static final int PREFIX = 2;
 
     private final Tier tier;
@@ -36,7 +39,7 @@
     private long rodeUs;
     private int behind;
 
-    /** Starts with the only block that this courier has. */
+    /** Starts with the only configuration that this courier has. */
     public BlockVersions(final Tier tier, final Lanes first, final Events events) {
         this.tier = tier;
         this.inForce = first;
@@ -44,19 +47,19 @@
         this.behind = first.version();
     }
 
-    /** The lanes to go by now. */
+    /** The lanes that apply now. */
     public Lanes lanes() {
         return pending == null ? inForce : stricter;
     }
 
-    /** The latest block that this courier holds, in force or pending. */
+    /** The latest configuration of this courier, in force or pending. */
     Lanes latest() {
         return pending == null ? inForce : pending;
     }
 
     /**
-     * The configuration was read anew. A block of a lower version, or of the same with other content, is refused with
-     * a line; the same once more is no news.
+     * Handles a configuration that was read again. One with a lower version, or the same version with other content, is
+     * refused and logged. An identical one changes nothing.
      */
     public void offer(final Moment now, final Lanes next) {
         if (next.digest() == latest().digest()) {
@@ -103,7 +106,8 @@
     }
 
     /**
-     * Brings the pending block into force where a majority has it, and tells where a majority has one that is not here.
+     * Brings the pending configuration into force if a majority has it, and logs if a majority has one that this
+     * courier lacks.
      */
     private void weigh() {
         if (pending != null && holders(pending.version(), pending.digest()) + 1 >= tier.majority()) {
--- a/src/main/java/driftchute/fleet/lane/Capacity.java
+++ b/src/main/java/driftchute/fleet/lane/Capacity.java
@@ -1,7 +1,7 @@
 package driftchute.fleet.lane;
 
-/** What destinations take, as this courier knows it. */
+/** The limits of destinations as this courier knows them. */
 public interface Capacity {
-    /** Messages a second from all couriers; 0: no limit is known. */
+    /** Messages per second from all couriers; 0 if no limit is known. */
     double limit(long destination);
 }
--- a/src/main/java/driftchute/fleet/lane/DemandMessage.java
+++ b/src/main/java/driftchute/fleet/lane/DemandMessage.java
@@ -8,13 +8,13 @@
 import java.util.List;
 
 /**
- * What a courier was offered for a destination, by lane, in tenths of a message a second.
+ * A courier's offered load for a destination, by lane, in tenths of a message per second.
  *
- * @param digest the block that numbers the lanes
+ * @param digest the configuration that numbers the lanes
  */
 record DemandMessage(int digest, long destination, List<Long> tenths) implements Message {
     static final int TYPE = 0x50;
-    /** Ten million a second, far beyond one process; a sum over any fleet stays exact. */
+    /** Upper bound, ten million messages per second: far beyond one process, and sums over any fleet stay exact. */
     private static final long MOST_TENTHS = 100_000_000L;
 
     private static final double TENTHS = 10;
@@ -43,7 +43,7 @@
         return new DemandMessage(digest, destination, List.of(tenths));
     }
 
-    /** Messages a second by lane. */
+    /** Messages per second by lane. */
     double[] perSecond() {
         return tenths.stream().mapToDouble(each -> each / TENTHS).toArray();
     }
--- a/src/main/java/driftchute/fleet/lane/DemandTable.java
+++ b/src/main/java/driftchute/fleet/lane/DemandTable.java
@@ -6,17 +6,17 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** What the couriers say that they are offered, by destination; each word counts for a ration time. */
+/** The offered load reported by all couriers, by destination. Each report is valid for one lease time. */
 final class DemandTable {
-    /** Destinations that are held; more cannot be active at once in any fleet that was planned for. */
+    /** Maximum number of destinations, more than are active at once in any planned fleet. */
     static final int MOST_DESTINATIONS = 1024;
 
-    /** One courier's word; {@code perSecond} is null where it goes by another block. */
+    /** One courier's report; {@code perSecond} is null if it uses another configuration. */
     private record Word(double[] perSecond, long untilUs) {}
 
     /**
-     * The couriers that were heard on a destination, their demand by lane, and the part of them that goes by this
-     * block.
+     * The couriers that reported on a destination, their demand by lane, and the part of them that uses this
+     * configuration.
      */
     record Sum(Set<Integer> couriers, double[] perSecond, double ofThisBlock) {}
 
@@ -27,7 +27,7 @@
         this.lanes = lanes;
     }
 
-    /** A courier says what it is offered; null: it goes by another block. False where there is no room. */
+    /** Stores a courier's offered load; null if it uses another configuration. Returns false if there is no space. */
     boolean put(final long destination, final int courier, final double[] perSecond, final long untilUs) {
         if (!words.containsKey(destination) && words.size() >= MOST_DESTINATIONS) {
             return false;
@@ -36,18 +36,18 @@
         return true;
     }
 
-    /** Forgets what has run out. */
+    /** Removes expired reports. */
     void expire(final long nowUs) {
         words.values().forEach(byCourier -> byCourier.values().removeIf(word -> nowUs >= word.untilUs));
         words.values().removeIf(Map::isEmpty);
     }
 
-    /** The destinations that somebody sends to. */
+    /** The destinations in use. */
     Set<Long> destinations() {
         return Set.copyOf(words.keySet());
     }
 
-    /** All demand for a destination, over a fleet of so many couriers. */
+    /** The total demand for a destination, over a fleet of so many couriers. */
     Sum sum(final long destination, final int couriers) {
         final double[] perSecond = new double[lanes];
         int others = 0;
--- a/src/main/java/driftchute/fleet/lane/Duty.java
+++ b/src/main/java/driftchute/fleet/lane/Duty.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** The allocator's duty, as leases tell it. */
+/** The allocator's role, as held by leases. */
 public interface Duty {
-    /** The fencing token under which this courier holds the duty now, or none. */
+    /** The fencing token under which this courier holds the role now, or none. */
     OptionalLong held(Moment now);
 
-    /** True for a token that no later holder has outdated, as far as this courier knows. */
+    /** True unless a later holder has superseded this token, as far as this courier knows. */
     boolean accepts(long token);
 
-    /** The courier that holds the duty, as far as this one knows. */
+    /** The courier that holds the role, as far as this one knows. */
     Optional<Integer> holder(Moment now);
 }
--- a/src/main/java/driftchute/fleet/lane/Gcra.java
+++ b/src/main/java/driftchute/fleet/lane/Gcra.java
@@ -1,8 +1,8 @@
 package driftchute.fleet.lane;
 
 /**
- * Generic cell rate algorithm (ITU-T I.371, annex A), virtual scheduling form, for a rate that may change. As a
- * ceiling it lets a message come so much earlier than due; as a floor it asks for one only when it is so much
+ * Generic cell rate algorithm (ITU-T I.371, annex A), virtual scheduling form, for a rate that may change. As a ceiling
+ * it admits a message up to {@code earlyUs} before it is due; as a floor it demands one only when it is {@code lateUs}
  * overdue. Times in us.
  */
 final class Gcra {
@@ -19,20 +19,20 @@
         this.lateUs = lateUs;
     }
 
-    /** Conforms to it what comes no earlier than that before it is due. */
+    /** A ceiling: a message conforms if it comes at most {@code earlyUs} before it is due. */
     static Gcra ceiling(final long earlyUs) {
         return new Gcra(earlyUs, 0);
     }
 
     /**
-     * Conforms to it what is overdue by that; as much again may be caught up in a clump. What comes beyond the rate
-     * is not held against what comes later.
+     * A floor: a message conforms if it is overdue by {@code lateUs}. As much again may be caught up in a burst.
+     * Messages beyond the rate do not count against later ones.
      */
     static Gcra floor(final long lateUs) {
         return new Gcra(0, lateUs);
     }
 
-    /** So many a second from now on; 0: none at all. */
+    /** Sets the rate per second; 0 means none. */
     void rate(final long nowUs, final double newPerSecond) {
         perSecond = newPerSecond;
         if (dueUs == NEVER) {
@@ -40,17 +40,17 @@
         }
     }
 
-    /** The next one is due now, whatever came before. */
+    /** Makes the next message due now, whatever came before. */
     void restart(final long nowUs) {
         dueUs = nowUs;
     }
 
-    /** True where one more conforms. */
+    /** True if one more message conforms. */
     boolean conforms(final long nowUs) {
         return perSecond > 0 && dueUs + lateUs <= nowUs + earlyUs;
     }
 
-    /** One has passed, whether it conformed or not. */
+    /** Records a message, whether it conformed or not. */
     void charge(final long nowUs) {
         if (perSecond > 0) {
             dueUs = Math.min(Math.max(dueUs, nowUs - 2 * lateUs), nowUs + earlyUs) + US_PER_S / perSecond;
--- a/src/main/java/driftchute/fleet/lane/Held.java
+++ b/src/main/java/driftchute/fleet/lane/Held.java
@@ -3,9 +3,9 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The order of preference among messages held, and which of them give way to a newcomer. */
+/** The order of preference among held messages, and which of them are dropped for a new one. */
 public final class Held {
-    /** The first is the last to be shed: by lane, then by when due, then by when taken. */
+    /** By lane, then by due time, then by acceptance. The first is shed last. */
     public static final Comparator<Waiting> ORDER = Comparator.comparingInt(Waiting::lane)
             .thenComparingLong(Waiting::dueUs)
             .thenComparingLong(Waiting::takenUs);
@@ -13,21 +13,21 @@
     private static final double US_PER_S = 1e6;
 
     /**
-     * A message taken on.
+     * An accepted message.
      *
-     * @param dueUs when it has to be delivered to be in time
-     * @param harmless it may end undelivered: the rule on duplicates does not bind it
+     * @param dueUs when it must be delivered to be in time
+     * @param harmless it may end undelivered without violating the rule on duplicates
      */
     public record Waiting(String id, int lane, long dueUs, long takenUs, boolean harmless) {}
 
     private Held() {}
 
     /**
-     * The messages that give way so that a newcomer of an earlier lane is in time. None where it is in time anyhow,
-     * and none where it would be late all the same; never more than needed, the last in {@link #ORDER} first.
+     * The messages to drop so that a new message of an earlier lane is in time. None if it is in time anyway, or would
+     * be late in any case. Never more than necessary, the last in {@link #ORDER} first.
      *
      * @param ahead the messages that go before it
-     * @param perSecond messages a second that leave
+     * @param perSecond messages per second that are sent
      */
     public static List<Waiting> giveWay(
             final long nowUs, final List<Waiting> ahead, final Waiting newcomer, final double perSecond) {
--- a/src/main/java/driftchute/fleet/lane/LaneBand.java
+++ b/src/main/java/driftchute/fleet/lane/LaneBand.java
@@ -1,17 +1,21 @@
 package driftchute.fleet.lane;
 
 /**
- * Holds what one courier lets in of a cut lane near what the cut means, where a lane has too few accounts for choice
- * alone to do it: three tenants cannot be shed by a tenth. Inside the band the choice of accounts decides.
+ * Keeps the rate that one courier admits of a cut lane close to the intended one, for lanes with too few accounts to do
+ * this by choosing accounts alone: a tenth of three tenants cannot be shed. Inside the band the choice of accounts
+ * decides.
  */
 final class LaneBand {
-    /** How far from the kept part choice may lead: fifty accounts stay inside. */
+    /** Maximum relative deviation that the choice of accounts may cause; fifty accounts stay inside. */
     private static final double WIDTH = 0.1;
-    /** What choice may run ahead or behind for; shorter, and it would be overruled by the chance of arrivals alone. */
+    /** Time that the choice may run ahead or behind, us. A shorter one would be exceeded by random arrivals alone. */
     private static final long SLACK_US = 500_000;
-    /** How long a lane may go without its guaranteed rate. */
+    /** Maximum time that a lane may go without its guaranteed rate, us. */
     private static final long LATE_US = 150_000;
-    /** The guarantee is judged in five seconds: makes good for that lateness, and for the step between two messages. */
+    /**
+     * The guarantee is judged over five seconds. This factor makes up for that lateness and the step between two
+     * messages.
+     */
     private static final double MARGIN = 1.08;
 
     private final Gcra guarantee = Gcra.floor(LATE_US);
@@ -21,9 +25,9 @@
     /**
      * Sets the band.
      *
-     * @param offered messages a second that come to this courier in the lane
-     * @param kept the part of them that the level keeps, 0 to 1
-     * @param guaranteed messages a second that the lane may always have here
+     * @param offered messages per second that this courier receives in the lane
+     * @param kept the part of them that the level admits, 0 to 1
+     * @param guaranteed messages per second that the lane may always have here
      */
     void tune(final long nowUs, final double offered, final double kept, final double guaranteed) {
         final double wanted = offered * kept;
@@ -37,7 +41,7 @@
         }
     }
 
-    /** True where a message is let in, whose account the level keeps or does not keep. */
+    /** True if a message is admitted. {@code kept}: the level admits its account. */
     boolean admits(final long nowUs, final boolean kept) {
         final boolean let = kept ? ceiling.conforms(nowUs) : guarantee.conforms(nowUs) || floor.conforms(nowUs);
         if (let) {
--- a/src/main/java/driftchute/fleet/lane/LaneBytes.java
+++ b/src/main/java/driftchute/fleet/lane/LaneBytes.java
@@ -4,15 +4,15 @@
 import driftchute.fleet.Varint;
 import java.nio.ByteBuffer;
 
-/** Reads figures of lanes within their bounds. */
+/** Reads bounded fields of lane messages. */
 final class LaneBytes {
     private LaneBytes() {}
 
-    /** A count of lanes, 1 to {@link Lanes#MOST}. */
+    /** A number of lanes, 1 to {@link Lanes#MOST}. */
     static int count(final ByteBuffer from) throws MalformedMessageException {
         final int count = from.get();
         if (count < 1 || count > Lanes.MOST) {
-            throw new MalformedMessageException(count + " lanes");
+            throw new MalformedMessageException(count + " lanes are out of bounds");
         }
         return count;
     }
@@ -21,7 +21,7 @@
     static long atMost(final long most, final ByteBuffer from) throws MalformedMessageException {
         final long value = Varint.get(from);
         if (value > most) {
-            throw new MalformedMessageException(value + " where " + most + " is the most");
+            throw new MalformedMessageException(value + " exceeds the maximum of " + most);
         }
         return value;
     }
--- a/src/main/java/driftchute/fleet/lane/LanePart.java
+++ b/src/main/java/driftchute/fleet/lane/LanePart.java
@@ -11,18 +11,19 @@
 import java.util.function.Supplier;
 
 /**
- * The lanes' part of the control plane: tells the allocator what this courier is offered, decides where this courier
- * is the allocator, and holds the levels that it has heard, each for one ration time (docs/fleet-lanes.md).
+ * The lanes' component of the control plane: reports this courier's offered load to the allocator, decides if this
+ * courier is the allocator, and stores the received levels, each for one lease time (docs/fleet-lanes.md).
  */
 public final class LanePart implements Part {
-    /** Reports and decisions in one ration time: two may be lost before a word runs out. */
+    /** Reports and decisions per lease time: two may be lost before a report expires. */
     private static final int IN_RATION_TIME = 3;
     /**
-     * How long after its end a level is remembered: datagrams come seconds late, and a new allocator goes on from it.
+     * How long an expired level is remembered, us: datagrams may be seconds late, and a new allocator continues from
+     * it.
      */
     private static final long REMEMBERED_US = 10_000_000;
 
-    /** The last level heard for a destination. */
+    /** The last level received for a destination. */
     private record Last(LevelVersion version, HeardLevel level) {}
 
     private final int couriers;
@@ -38,7 +39,7 @@
     private Allocator allocator;
     private int toldForeign;
     /**
-     * Of the levels that this courier decides; never starts anew, since a token may be held by several allocators in
+     * Numbers the levels that this courier decides. Never restarts, because several allocators may hold one token in
      * turn.
      */
     private long sequence;
@@ -46,10 +47,10 @@
     private long dueUs = Long.MIN_VALUE;
 
     /**
-     * The part of one courier in a tier of so many.
+     * Creates the component of one courier in a tier of so many.
      *
-     * @param rationUs how long a level counts, us
-     * @param current the lanes to go by, which may change
+     * @param rationUs how long a level is valid, us
+     * @param current the lanes in force, which may change
      */
     public LanePart(
             final int couriers,
@@ -67,15 +68,13 @@
         this.lanes = current.get();
     }
 
-    /**
-     * What this courier is offered now, messages a second by destination and lane, as {@link Shedder#turn} tells it.
-     */
+    /** Sets this courier's offered load, messages per second by destination and lane, from {@link Shedder#turn}. */
     public void offered(final Moment now, final Map<Long, double[]> perSecond) {
         offered = Map.copyOf(perSecond);
         offeredUntilUs = now.monoUs() + rationUs;
     }
 
-    /** What the traffic goes by. */
+    /** The view for the traffic. */
     public LaneView view(final Moment now) {
         forget(now);
         return new LaneView(lanes, levels());
@@ -115,7 +114,9 @@
                 new Last(message.version(), new HeardLevel(message.level(), now.monoUs() + rationUs)));
     }
 
-    /** The allocator goes by another block, which leaves this courier to its own floor: one line for each block. */
+    /**
+     * The allocator uses another configuration, so that this courier decides by itself. Logged once per configuration.
+     */
     private void foreign(final int from, final int digest) {
         if (digest != toldForeign) {
             toldForeign = digest;
--- a/src/main/java/driftchute/fleet/lane/LaneRates.java
+++ b/src/main/java/driftchute/fleet/lane/LaneRates.java
@@ -1,9 +1,9 @@
 package driftchute.fleet.lane;
 
-/** Counts by lane as smoothed rates, messages a second. Times in us. */
+/** Smoothed message rates by lane, messages per second. Times in us. */
 final class LaneRates {
     private static final double US_PER_S = 1e6;
-    /** Less is nothing: a lane that has fallen silent has no demand. */
+    /** Lower rates count as zero: a lane that has fallen silent has no demand. */
     private static final double LEAST_PER_S = 0.05;
 
     private final double messages;
@@ -12,7 +12,7 @@
     private final double[] perSecond;
     private boolean turned;
 
-    /** Smooths over as long as so many messages take, but for that long at least and at most. */
+    /** Smooths over the time that so many messages take, within these bounds. */
     LaneRates(final int lanes, final int messages, final long leastUs, final long mostUs) {
         this.messages = messages;
         this.leastUs = leastUs;
@@ -20,7 +20,7 @@
         this.perSecond = new double[lanes];
     }
 
-    /** So many came in that time. */
+    /** Adds the counts of a period. */
     void turn(final long[] counts, final double elapsedUs) {
         double came = 0;
         double known = 0;
@@ -37,7 +37,7 @@
         turned = true;
     }
 
-    /** Messages a second by lane. */
+    /** Messages per second by lane. */
     double[] perSecond() {
         return perSecond.clone();
     }
--- a/src/main/java/driftchute/fleet/lane/LaneState.java
+++ b/src/main/java/driftchute/fleet/lane/LaneState.java
@@ -3,13 +3,16 @@
 import java.util.Arrays;
 
 /**
- * What one courier knows of one destination's lanes: what is offered, the fleet's level, and its own in case. Times in
- * us.
+ * One courier's state of the lanes of one destination: offered load, the fleet's level, and its own level as a
+ * fallback. Times in us.
  */
 final class LaneState {
-    /** Half a second follows a crowd in one report; the sum over couriers is steady by itself. */
+    /** Half a second follows a burst within one report; the sum over couriers is steady by itself. */
     private static final long SMOOTH_US = 500_000;
-    /** What this courier decides alone rests on few messages; chance moves so many by a twentieth, the level's band. */
+    /**
+     * A decision by this courier alone is based on few messages; random variation of this many is about a twentieth,
+     * the band of the level.
+     */
     private static final int STEADY_MESSAGES = 500;
 
     private static final long STEADY_US = 3_000_000;
@@ -27,7 +30,11 @@
     private HeardLevel fleet;
     private Level alone = new Level(0, new int[0]);
 
-    /** @param graceUs how long a courier that has not yet heard of a destination waits before it decides alone */
+    /**
+     * Creates the state of a destination.
+     *
+     * @param graceUs how long a courier that has received no level for a destination waits before it decides by itself
+     */
     LaneState(final long nowUs, final double[] shares, final long graceUs) {
         this.shares = shares;
         this.graceUs = graceUs;
@@ -49,12 +56,12 @@
         lastUs = nowUs;
     }
 
-    /** True where nothing was offered since that moment. */
+    /** True if nothing was offered since that time. */
     boolean idleSince(final long us) {
         return lastUs < us;
     }
 
-    /** The fleet's level is this; one that had run out before counts for nothing here. */
+    /** Handles the fleet's level. An expired one is ignored. */
     void hear(final long nowUs, final HeardLevel level) {
         if (nowUs < level.untilUs()) {
             fleet = level;
@@ -62,7 +69,7 @@
         }
     }
 
-    /** The level to go by. */
+    /** The level that applies. */
     Level level(final long nowUs) {
         return isAlone(nowUs) ? alone : fleet.level();
     }
@@ -72,7 +79,7 @@
         return nowUs >= fleet.untilUs();
     }
 
-    /** Counts become rates, and this courier decides for itself, in case; {@code ownPart}: its part of the limit. */
+    /** Updates the rates and this courier's own level. {@code ownPart}: its part of the limit, messages per second. */
     void turn(final long nowUs, final double ownPart) {
         final double elapsedUs = Math.max(1, nowUs - turnedUs);
         told.turn(counts, elapsedUs);
@@ -85,7 +92,7 @@
         alone = own.at(fleet.level().epoch() + Math.max(0, nowUs - fleet.untilUs() + graceUs) / epochUs);
     }
 
-    /** Fits the bands to the level that is gone by now. */
+    /** Adjusts the bands to the level that applies now. */
     void tune(final long nowUs) {
         final Level level = level(nowUs);
         final double[] offered = steady.perSecond();
@@ -99,7 +106,7 @@
         return level.cut(lane) > 0 && !bands[lane].admits(nowUs, !level.sheds(lane, account));
     }
 
-    /** What is offered, messages a second by lane. */
+    /** Offered load, messages per second by lane. */
     double[] rates() {
         return told.perSecond();
     }
--- a/src/main/java/driftchute/fleet/lane/LaneView.java
+++ b/src/main/java/driftchute/fleet/lane/LaneView.java
@@ -2,11 +2,9 @@
 
 import java.util.Map;
 
-/**
- * What the traffic needs of the shared state, immutable: the lanes to go by and the fleet's levels by destination.
- */
+/** What the traffic needs of the shared state: the lanes in force and the fleet's levels by destination. Immutable. */
 public record LaneView(Lanes lanes, Map<Long, HeardLevel> levels) {
-    /** Takes a copy. */
+    /** Copies the map. */
     public LaneView {
         levels = Map.copyOf(levels);
     }
--- a/src/main/java/driftchute/fleet/lane/Lanes.java
+++ b/src/main/java/driftchute/fleet/lane/Lanes.java
@@ -11,19 +11,19 @@
 import java.util.function.Function;
 
 /**
- * The lanes of one block against the settings' tenants and classes, in order: the first is the last to be shed.
- * Immutable. Without lanes in the block there is one that holds everything, without a share or a quota.
+ * The lanes of one configuration, resolved against the settings' tenants and classes; the first is shed last.
+ * Immutable. Without configured lanes there is one for everything, without a share or a quota.
  */
 public final class Lanes {
-    /** Messages name lanes by a byte each or so, and a frame has 256 bytes; nobody has shown a need for more. */
+    /** Maximum number of lanes: messages take about a byte per lane, and a frame has 256 bytes. */
     public static final int MOST = 16;
-    /** Shares are decimal fractions, whose sum of 1 need not be 1 in binary. */
+    /** Shares are decimal fractions, whose sum of 1 may not be exact in binary. */
     private static final double ROUNDING = 1e-9;
 
     private final int version;
     private final int digest;
     private final List<LaneBlock> blocks;
-    /** Lane by tenant and class, each one up, so that 0 stands for none. */
+    /** Lane by tenant and class; index 0 stands for none, the others are shifted by one. */
     private final int[][] lane;
 
     private final long[] accounts;
@@ -42,10 +42,11 @@
     }
 
     /**
-     * The lanes of this block.
+     * Resolves a configuration.
      *
-     * @throws IllegalArgumentException with one line: too many lanes, a doubled name, two that take the rest, shares
-     *         above 1 in all, a tenant or class that the settings don't have, or one that is claimed twice
+     * @throws IllegalArgumentException with one line: too many lanes, a duplicate name, two lanes that take the rest,
+     * shares
+     *     above 1 in total, a tenant or class that the settings do not have, or one that is claimed twice
      */
     public static Lanes of(final FleetBlock block, final Courier.Settings settings) {
         final List<LaneBlock> blocks =
@@ -124,11 +125,11 @@
     }
 
     /**
-     * The stricter of two blocks, in the lanes of the one in force: of lanes of one name the lower share and the
-     * lower quota, and for each message the later of its two lanes. A lane whose name the block in force does not
-     * have counts from the last.
+     * The stricter of two configurations, in the lanes of the one in force: for lanes of the same name the lower share
+     * and the lower quota, and for each message the later of its two lanes. A lane whose name the one in force does not
+     * have is matched by its position from the last.
      *
-     * @throws IllegalArgumentException where the two are made for different settings
+     * @throws IllegalArgumentException if the two were made for different settings
      */
     static Lanes stricter(final Lanes inForce, final Lanes pending) {
         require(
@@ -163,7 +164,7 @@
         return new Lanes(inForce.version, inForce.digest, blocks, lane, inForce.accounts);
     }
 
-    /** 0 stands for no bound at all. */
+    /** 0 means no bound. */
     private static double lowerQuota(final double one, final double other) {
         return one == 0 ? other : other == 0 ? one : Math.min(one, other);
     }
@@ -177,7 +178,7 @@
         return -1;
     }
 
-    /** How many lanes there are, at least one. */
+    /** Number of lanes, at least one. */
     public int count() {
         return blocks.size();
     }
@@ -197,29 +198,29 @@
         return blocks.stream().mapToDouble(LaneBlock::share).toArray();
     }
 
-    /** Messages a second, over the fleet, that an account may send in the lane; 0: any number. */
+    /** Messages per second, over the fleet, that an account may send in the lane; 0 means no bound. */
     public double quota(final int index) {
         return blocks.get(index).quota();
     }
 
-    /** Version of the block. */
+    /** Version of the configuration. */
     public int version() {
         return version;
     }
 
-    /** Tells blocks of different version or content apart; a stricter merge has that of the block in force. */
+    /** Identifies version and content. A stricter merge has the digest of the configuration in force. */
     public int digest() {
         return digest;
     }
 
-    /** The lane of a message, by the settings' indices of its class and tenant (-1 and unknown ones: none). */
+    /** The lane of a message, by the settings' indexes of its class and tenant (-1 and unknown ones: none). */
     public int laneOf(final int messageClass, final int tenant) {
         final int row = tenant < 0 || tenant >= lane.length - 1 ? 0 : tenant + 1;
         final int column = messageClass < 0 || messageClass >= lane[row].length - 1 ? 0 : messageClass + 1;
         return lane[row][column];
     }
 
-    /** The account of a message: its tenant (index) where it has one, otherwise the client that the caller names. */
+    /** The account of a message: its tenant (index) if it has one, otherwise the named client. */
     public long account(final int tenant, final String client) {
         return tenant >= 0 && tenant < accounts.length ? accounts[tenant] : Accounts.hash(client);
     }
--- a/src/main/java/driftchute/fleet/lane/Level.java
+++ b/src/main/java/driftchute/fleet/lane/Level.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * Which accounts of each lane are shed. An account's place is its hash moved on by the golden ratio with each epoch,
- * modulo 1; it is shed where its place is under its lane's cut. So all who have the same level shed the same
- * accounts, a higher cut sheds these and more, and the burden moves on evenly. Immutable.
+ * Which accounts of each lane are shed. An account's position is its hash, advanced by the golden ratio with each
+ * epoch, modulo 1; it is shed if its position is below its lane's cut. So all couriers with the same level shed the
+ * same accounts, a higher cut sheds these and more, and the burden rotates evenly. Immutable.
  */
 public final class Level {
-    /** Cuts are in parts of 2^14: a varint of two bytes, and finer than any lane's count of accounts needs. */
+    /** Cuts are in units of 2^-14: a varint of two bytes, and finer than any lane's number of accounts requires. */
     static final int SCALE = 1 << 14;
-    /** The golden ratio's fraction in 64 bits. */
+    /** The fractional part of the golden ratio in 64 bits. */
     private static final long GOLDEN = 0x9E3779B97F4A7C15L;
 
     private static final int BELOW_PLACE = Long.SIZE - 14;
@@ -19,47 +19,49 @@
     private final int[] cuts;
 
     /**
+     * Creates a level.
+     *
      * @param epoch 0 or more
-     * @param cuts for each lane what is shed of it, in parts of {@link #SCALE}
+     * @param cuts the part shed of each lane, in units of 1/{@link #SCALE}
      */
     Level(final long epoch, final int[] cuts) {
         this.epoch = epoch;
         this.cuts = cuts.clone();
     }
 
-    /** The level that keeps these parts, 0 to 1; what is below a part of the scale is kept. */
+    /** The level that admits these parts, 0 to 1, rounded up to the scale. */
     static Level of(final long epoch, final double[] kept) {
         return new Level(
                 epoch,
                 Arrays.stream(kept).mapToInt(part -> (int) ((1 - part) * SCALE)).toArray());
     }
 
-    /** Which turn of the burden this is. */
+    /** The epoch of the rotation. */
     public long epoch() {
         return epoch;
     }
 
-    /** How many lanes it speaks of. */
+    /** Number of lanes. */
     public int lanes() {
         return cuts.length;
     }
 
-    /** The part of a lane's accounts that is shed, 0 to 1; 0 for a lane that it does not speak of. */
+    /** The part of a lane's accounts that is shed, 0 to 1; 0 for an unknown lane. */
     public double cut(final int lane) {
         return (double) cutOf(lane) / SCALE;
     }
 
-    /** In parts of {@link #SCALE}. */
+    /** The cut in units of 1/{@link #SCALE}. */
     int cutOf(final int lane) {
         return lane < cuts.length ? cuts[lane] : 0;
     }
 
-    /** The same cuts for the accounts of another epoch. */
+    /** The same cuts for another epoch. */
     Level at(final long otherEpoch) {
         return new Level(otherEpoch, cuts);
     }
 
-    /** The first lane, in order, of which something is shed, or -1: how far up the level has risen. */
+    /** The first lane, in order, that is partly shed, or -1 if none is. */
     public int firstShed() {
         for (int i = 0; i < cuts.length; i++) {
             if (cuts[i] > 0) {
--- a/src/main/java/driftchute/fleet/lane/LevelMessage.java
+++ b/src/main/java/driftchute/fleet/lane/LevelMessage.java
@@ -6,10 +6,10 @@
 import java.nio.ByteBuffer;
 
 /**
- * The allocator's level for a destination; each sending has a version of its own, so that one that comes late or
- * twice does not prolong it.
+ * The allocator's level for a destination. Each message has its own version, so that a late or duplicate one does not
+ * extend its validity.
  *
- * @param digest the block that numbers the lanes
+ * @param digest the configuration that numbers the lanes
  */
 record LevelMessage(int digest, long destination, LevelVersion version, Level level) implements Message {
     static final int TYPE = 0x51;
--- a/src/main/java/driftchute/fleet/lane/LevelVersion.java
+++ b/src/main/java/driftchute/fleet/lane/LevelVersion.java
@@ -2,7 +2,7 @@
 
 import java.util.Comparator;
 
-/** Orders levels: a later holder's token first, then the sequence under one token. */
+/** Orders levels by the holder's token, then by the sequence number under that token. */
 record LevelVersion(long token, long sequence) implements Comparable<LevelVersion> {
     private static final Comparator<LevelVersion> ORDER =
             Comparator.comparingLong(LevelVersion::token).thenComparingLong(LevelVersion::sequence);
--- a/src/main/java/driftchute/fleet/lane/ShedLevel.java
+++ b/src/main/java/driftchute/fleet/lane/ShedLevel.java
@@ -3,20 +3,26 @@
 import java.util.Arrays;
 
 /**
- * Which part of each lane is shed at one destination, with hysteresis: it rises at once where what it keeps is over
- * the limit, falls only after that has stayed under a lower mark for a time, and never cuts a lane below its
- * guaranteed share of the demand (docs/fleet-lanes.md). Without a clock: times are told, in us.
+ * Computes the part of each lane to shed at one destination, with hysteresis: it rises at once if the admitted load
+ * exceeds the limit, falls only after the load has stayed below a lower mark for a while, and never cuts a lane below
+ * its guaranteed share (docs/fleet-lanes.md). Has no clock; times are passed in, us.
  */
 final class ShedLevel {
-    /** What a new level lets in, of the limit: the middle of the band, so that small swings of demand move nothing. */
+    /**
+     * Load that a new level admits, relative to the limit: the middle of the band, so that small variations of demand
+     * change nothing.
+     */
     private static final double AIM = 0.95;
-    /** Under this part of the limit the level may fall. */
+    /** Below this part of the limit the level may fall. */
     private static final double LOW = 0.9;
-    /** For so long: several report periods, and longer than a clump of traffic. */
+    /** Time that the load must stay below it, us: several report periods, and longer than a burst. */
     private static final long CALM_US = 3_000_000;
 
     private static final long NOT_CALM = Long.MIN_VALUE;
-    /** A level that keeps exactly the limit is not over it, and one that keeps a lane's demand keeps all of it. */
+    /**
+     * Tolerance, so that a level that admits exactly the limit does not exceed it, and one that admits a lane's demand
+     * admits all of it.
+     */
     private static final double ROUNDING = 1e-9;
 
     private final double[] shares;
@@ -29,7 +35,7 @@
         Arrays.fill(kept, 1);
     }
 
-    /** Goes on from what another allocator decided, where it had as many lanes. */
+    /** Continues from another allocator's level if it has the same number of lanes. */
     void goOnFrom(final Level level) {
         for (int i = 0; i < kept.length && level.lanes() == kept.length; i++) {
             kept[i] = 1 - level.cut(i);
@@ -37,9 +43,9 @@
     }
 
     /**
-     * Decides on this demand, messages a second by lane.
+     * Decides on this demand, messages per second by lane.
      *
-     * @param limit messages a second; 0, or what is no number: none is known, and nobody is shed
+     * @param limit messages per second; 0 or not a number: none is known, and nothing is shed
      */
     void decide(final long nowUs, final double[] demand, final double limit) {
         if (!(limit > 0) || Double.isInfinite(limit)) {
@@ -70,7 +76,7 @@
         final double[] allotted = Allotment.of(demand, shares, limit, AIM);
         boolean whole = true;
         for (int i = 0; i < kept.length; i++) {
-            // A lane without a share that asks for nothing now must not come in later ahead of one that is cut.
+            // A lane without a share and without demand now must not come in later ahead of one that is cut.
             final boolean all = allotted[i] >= demand[i] * (1 - ROUNDING);
             kept[i] = demand[i] > 0 ? all ? 1 : allotted[i] / demand[i] : whole || shares[i] > 0 ? 1 : 0;
             whole &= kept[i] == 1;
@@ -78,12 +84,12 @@
         calmFromUs = NOT_CALM;
     }
 
-    /** True while any lane is cut. */
+    /** True if any lane is cut. */
     boolean sheds() {
         return Arrays.stream(kept).anyMatch(part -> part < 1);
     }
 
-    /** The level as it stands, for the accounts of this epoch. */
+    /** The present level, for the accounts of this epoch. */
     Level at(final long epoch) {
         return Level.of(epoch, kept);
     }
--- a/src/main/java/driftchute/fleet/lane/Shedder.java
+++ b/src/main/java/driftchute/fleet/lane/Shedder.java
@@ -7,12 +7,12 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * What one courier sheds as messages come: by the fleet's level where one was heard within a ration time, otherwise
- * by its own demand and its own part of the limit (docs/fleet-lanes.md). For the traffic's thread alone; times in us
- * on the clock of its events. The caller names each message's lane by {@link Lanes} and {@link Quota}.
+ * Decides which arriving messages one courier sheds: by the fleet's level if one was received within a lease time,
+ * otherwise by its own demand and its own part of the limit (docs/fleet-lanes.md). Used by the traffic's thread only;
+ * times in us on the clock of its events. The caller determines each message's lane by {@link Lanes} and {@link Quota}.
  */
 public final class Shedder {
-    /** A destination that got nothing for so long is forgotten. */
+    /** Time without messages after which a destination is forgotten, us. */
     private static final long IDLE_US = 60_000_000;
 
     private final long rationUs;
@@ -23,7 +23,9 @@
     private Lanes lanes;
 
     /**
-     * @param rationUs how long a destination that is new here goes without a level before this courier decides alone
+     * Creates the shedder.
+     *
+     * @param rationUs how long a new destination waits for a level before this courier decides by itself, us
      */
     public Shedder(final long rationUs, final Lanes lanes, final Events events) {
         this.rationUs = rationUs;
@@ -31,7 +33,7 @@
         this.events = events;
     }
 
-    /** What is shared is now this. With other lanes, what was learnt by the old ones is forgotten. */
+    /** Handles a new view. If the lanes changed, everything learnt with the old ones is dropped. */
     public void view(final long nowUs, final LaneView view) {
         if (view.lanes() != lanes) {
             states.clear();
@@ -47,7 +49,7 @@
         });
     }
 
-    /** A message comes, whatever becomes of it; once for each, before {@link #shed}. */
+    /** Counts an arriving message, whatever happens to it. Once per message, before {@link #shed}. */
     public void offered(final long nowUs, final long destination, final int lane) {
         LaneState state = states.get(destination);
         if (state == null && states.size() < DemandTable.MOST_DESTINATIONS) {
@@ -62,14 +64,14 @@
         }
     }
 
-    /** True where a message that comes is to be shed; asked once for each, since what is let in is counted. */
+    /** True if an arriving message is to be shed. Once per message, because admitted messages are counted. */
     public boolean shed(final long nowUs, final long destination, final int lane, final long account) {
         final LaneState state = states.get(destination);
         return state != null && state.sheds(nowUs, lane, account);
     }
 
     /**
-     * True for an account that the level in force would shed: for messages held ({@link Held}), as often as one likes.
+     * True for an account that the level in force sheds. For held messages ({@link Held}); may be called repeatedly.
      */
     public boolean marked(final long nowUs, final long destination, final int lane, final long account) {
         final LaneState state = states.get(destination);
@@ -77,12 +79,12 @@
     }
 
     /**
-     * Counts become rates, and this courier decides for itself in case it has to; to be called a few times in a
-     * ration time.
+     * Updates the rates and this courier's own level. To be called a few times per lease time.
      *
-     * @param ownPart messages a second that this courier alone may send to a destination: its ration, or its even
-     *         part of the reserve; 0: not known, and then it sheds nothing by itself
-     * @return what is offered, messages a second by destination and lane, for {@link LanePart#offered}
+     * @param ownPart messages per second that this courier may send to a destination by itself: its rate lease, or its
+     * even
+     *     part of the reserve; 0 if unknown, and then it sheds nothing by itself
+     * @return the offered load, messages per second by destination and lane, for {@link LanePart#offered}
      */
     public Map<Long, double[]> turn(final long nowUs, final LongToDoubleFunction ownPart) {
         states.values().removeIf(state -> state.idleSince(nowUs - IDLE_US));
@@ -102,7 +104,7 @@
         return rates;
     }
 
-    /** One line when this courier begins, or ends, to shed by itself, or by another lane. */
+    /** Logs when this courier begins, or ends, to shed by itself, or by another lane. */
     private void tell(final long nowUs, final long destination, final LaneState state) {
         final int first = state.isAlone(nowUs) ? state.level(nowUs).firstShed() : -1;
         final Integer before = aloneFrom.put(destination, first);
--- a/src/main/java/driftchute/fleet/lane/Turns.java
+++ b/src/main/java/driftchute/fleet/lane/Turns.java
@@ -1,17 +1,17 @@
 package driftchute.fleet.lane;
 
 /**
- * Whose turn it is among messages held for one destination: a lane that is behind with its guaranteed share,
- * otherwise the first lane that has something. So premium goes first, and nothing that waits starves behind it.
+ * Chooses the lane to serve next among messages held for one destination: a lane that is behind with its guaranteed
+ * share, otherwise the first lane with a message. So premium goes first, and no lane starves.
  */
 public final class Turns {
-    /** How long a lane may be behind; as in {@link LaneBand}. */
+    /** How long a lane may be behind, us; as in {@link LaneBand}. */
     private static final long LATE_US = 150_000;
 
     private final Gcra[] guarantees;
     private final double[] shares;
 
-    /** @param lanes the lanes to go by; with others, begin anew */
+    /** Creates the scheduler for these lanes. Other lanes need a new one. */
     public Turns(final Lanes lanes) {
         this.shares = lanes.shares();
         this.guarantees = new Gcra[shares.length];
@@ -20,7 +20,7 @@
         }
     }
 
-    /** This courier may send so many messages a second there from now on; what is no such figure counts as 0. */
+    /** Sets the rate that this courier may send there, messages per second; invalid values count as 0. */
     public void part(final long nowUs, final double perSecond) {
         final double known = perSecond > 0 && perSecond < Double.POSITIVE_INFINITY ? perSecond : 0;
         for (int i = 0; i < guarantees.length; i++) {
@@ -29,9 +29,9 @@
     }
 
     /**
-     * The lane whose message goes next, or -1 where none waits.
+     * The lane whose message goes next, or -1 if none waits.
      *
-     * @param waiting for each lane, whether something may go
+     * @param waiting for each lane, whether it has a message that may be sent
      */
     public int next(final long nowUs, final boolean[] waiting) {
         int first = -1;
@@ -50,7 +50,7 @@
         return first;
     }
 
-    /** A message of that lane has gone. */
+    /** A message of that lane was sent. */
     public void gone(final long nowUs, final int lane) {
         guarantees[lane].charge(nowUs);
     }
--- a/src/main/java/driftchute/fleet/session/Baseline.java
+++ b/src/main/java/driftchute/fleet/session/Baseline.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * How each destination does for other sessions just now, so that a failed call is held against a session only where it
- * is the session's. One voice a session, its last end: one that floods with failures does not make a destination look
- * ill.
+ * Health of each destination for other sessions, so that a failed call counts against a session only if the session
+ * caused it. Each session contributes its last call only, so that one with many failures does not make a destination
+ * look unhealthy.
  */
 final class Baseline {
-    /** How a destination does for the others. */
+    /** Health of a destination for the others. */
     enum Standing {
         UNKNOWN,
         WELL,
@@ -18,11 +18,11 @@
 
     private static final int MOST_DESTINATIONS = 256;
     private static final int MOST_SESSIONS = 32;
-    /** With fewer others, one chance failure would look like an outage, or hide one. */
+    /** With fewer other sessions, one random failure would look like an outage, or hide one. */
     private static final int LEAST_OTHERS = 2;
-    /** At least so many of the others do well: what fails here fails for its own cause. */
+    /** If at least this share of the others succeeds, a failure here has its own cause. */
     private static final double WELL_SHARE = 0.75;
-    /** Fewer do, and more than one does not: the destination fails. One that fails by itself is no outage. */
+    /** If a smaller share succeeds and more than one fails, the destination fails. A single failure is no outage. */
     private static final double ILL_SHARE = 2.0 / 3;
 
     private record End(boolean well, long us) {}
@@ -30,17 +30,21 @@
     private final Latest<Latest<End>> destinations = new Latest<>(MOST_DESTINATIONS);
     private final long staleUs;
 
-    /** @param staleUs ends longer ago count for nothing */
+    /**
+     * Creates the baseline.
+     *
+     * @param staleUs age at which an outcome no longer counts, us
+     */
     Baseline(final long staleUs) {
         this.staleUs = staleUs;
     }
 
-    /** A call that tells of this session has ended: it was alone in it, or all went well. */
+    /** A call that is informative about this session has ended: the session was alone in it, or it succeeded. */
     void ended(final long destination, final long session, final boolean well, final long nowUs) {
         destinations.use(destination, unused -> new Latest<>(MOST_SESSIONS)).put(session, new End(well, nowUs));
     }
 
-    /** How the destination does for sessions other than these. */
+    /** Health of the destination for sessions other than these. */
     Standing others(final long destination, final Collection<Long> sessions, final long nowUs) {
         final Latest<End> ends = destinations.get(destination);
         int others = 0;
--- a/src/main/java/driftchute/fleet/session/CallOutcome.java
+++ b/src/main/java/driftchute/fleet/session/CallOutcome.java
@@ -4,25 +4,25 @@
 import java.util.List;
 
 /**
- * How one call to an endpoint ended as a whole, and whose messages it carried: one share a session. What became of
- * single messages in a call that was answered is no matter here, since it harmed nobody else.
+ * How a call to an endpoint ended as a whole, and the sessions whose messages it carried, one share per session. What
+ * happened to single messages of an answered call does not matter, because it harmed no other.
  */
 public record CallOutcome(long destination, List<Share> shares, Ended ended) {
-    /** How a call ended as a whole. */
+    /** The result of a call as a whole. */
     public enum Ended {
-        /** Answered, and the answer could be read. */
+        /** Answered, and the answer could be parsed. */
         WELL(true, false),
-        /** 500. */
+        /** Status 500. */
         ERROR(true, true),
-        /** An answer that cannot be read as the protocol requires. */
+        /** An answer that violates the protocol. */
         SPOILT(true, true),
         /** The connection broke after the last byte was written. */
         RESET(true, true),
         /** No answer in time. */
         TIMED_OUT(true, true),
-        /** 400, 413, 429 or 503 for all of it. */
+        /** Status 400, 413, 429 or 503 for the whole call. */
         REFUSED(true, true),
-        /** It never reached the endpoint, or this courier gave it up: nothing is learnt. */
+        /** It never reached the endpoint, or this courier cancelled it: nothing is learnt. */
         UNTRIED(false, false);
 
         final boolean counted;
@@ -37,22 +37,26 @@
     /**
      * One session's messages in a call.
      *
-     * @param messages how many, 1 or more
-     * @param handedInUs when the first of them was handed in, monotonic us of this process
-     * @param largestBody bytes of the largest body
-     * @param retried how many of them came again after no answer
+     * @param messages number of messages, 1 or more
+     * @param handedInUs when the first of them was accepted, monotonic us of this process
+     * @param largestBody size of the largest body, bytes
+     * @param retried number of them that were submitted again after no answer
      * @param effect the effect of their class
      */
     public record Share(long session, int messages, long handedInUs, int largestBody, int retried, Effect effect) {}
 
-    /** @throws IllegalArgumentException for a call without messages, or with two shares of one session */
+    /**
+     * Checks the shares.
+     *
+     * @throws IllegalArgumentException for a call without messages, or with two shares of one session
+     */
     public CallOutcome {
         shares = List.copyOf(shares);
         if (shares.isEmpty()
                 || shares.stream().mapToLong(Share::session).distinct().count() < shares.size()
                 || shares.stream().anyMatch(share -> share.messages() < 1)) {
             throw new IllegalArgumentException(
-                    "a call holds one share of a message or more for each session: " + shares);
+                    "each session needs exactly one share of at least one message: " + shares);
         }
     }
 
--- a/src/main/java/driftchute/fleet/session/Counters.java
+++ b/src/main/java/driftchute/fleet/session/Counters.java
@@ -5,18 +5,18 @@
 import java.nio.ByteBuffer;
 
 /**
- * What one life of one courier has seen of a session within an epoch; each figure only grows. Calls and merged calls
- * are told apart by whether another session's messages were in them.
+ * What one process of one courier has seen of a session within an epoch. Each figure only grows. Calls and merged calls
+ * differ in whether another session's messages were in them.
  *
- * @param life which process of that courier, growing with each start; a later one's figures replace an earlier one's
+ * @param life generation of that courier's process, which grows with each start; later figures replace earlier ones
  * @param calls counted calls that carried this session alone
  * @param harms those of them that failed
- * @param merged merged calls that went well, and {@code mergedHarms}
- * @param mergedHarms searches for a poisoner that ended with this session among the last suspects, unproven
- * @param dependent calls whose message came right after the last one's end, several times in a row
- * @param retried calls with a message that came again after no answer
+ * @param merged merged calls that succeeded, and {@code mergedHarms}
+ * @param mergedHarms searches for a harmful session that ended with this one among the last suspects, unproven
+ * @param dependent calls whose message arrived right after the previous one's end, several times in a row
+ * @param retried calls with a message that was submitted again after no answer
  * @param large calls with a body near the limit
- * @param effects effects of its classes seen, a bit each
+ * @param effects bit set of the effects of its classes
  */
 record Counters(
         long life,
@@ -28,7 +28,7 @@
         long retried,
         long large,
         int effects) {
-    /** Far above any count of calls, and far enough below 2^63 for the sum over all couriers. */
+    /** Upper bound: far above any count of calls, and far enough below 2^63 for the sum over all couriers. */
     static final long MOST = 1L << 40;
 
     private static final int MOST_EFFECTS = 7;
@@ -44,7 +44,7 @@
                 || bad(merged, MOST)
                 || effects < 0
                 || effects > MOST_EFFECTS) {
-            throw new IllegalArgumentException("counters that no courier can have");
+            throw new IllegalArgumentException("impossible counters");
         }
     }
 
@@ -56,7 +56,10 @@
         return new Counters(life, 0, 0, 0, 0, 0, 0, 0, 0);
     }
 
-    /** Both: the later life's, or the greater of each figure. Commutative, associative and idempotent. */
+    /**
+     * The join of both: the later process's figures, or the maximum of each figure. Commutative, associative and
+     * idempotent.
+     */
     Counters join(final Counters other) {
         if (life != other.life) {
             return life > other.life ? this : other;
@@ -83,7 +86,7 @@
                 life, calls, harms, merged + 1, mergedHarms + (harm ? 1 : 0), dependent, retried, large, effects);
     }
 
-    /** One more call's habits. */
+    /** Adds one call's properties. */
     Counters plusHabits(final int moreDependent, final boolean again, final boolean big, final int effect) {
         return new Counters(
                 life,
@@ -97,7 +100,7 @@
                 effects | effect);
     }
 
-    /** Bytes without the life, which a message tells once for all. */
+    /** Encoded size without the process generation, which a message contains once. */
     int size() {
         return 1
                 + Varint.size(calls)
@@ -116,7 +119,11 @@
         }
     }
 
-    /** @throws IllegalArgumentException for figures that no courier can have */
+    /**
+     * Reads counters.
+     *
+     * @throws IllegalArgumentException for impossible figures
+     */
     static Counters read(final long life, final ByteBuffer from) throws MalformedMessageException {
         final int effects = from.get();
         return new Counters(
--- a/src/main/java/driftchute/fleet/session/Counts.java
+++ b/src/main/java/driftchute/fleet/session/Counts.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Some of the sender's own counters, all of the life of the process that sends them. */
+/** Some of the sender's own counters, all of the process that sends them. */
 record Counts(long life, List<Row> rows) implements Message {
     static final int TYPE = 0x62;
 
@@ -44,10 +44,10 @@
     }
 
     /**
-     * Reads rows to the end of the body, so that their number need not be told.
+     * Reads rows to the end of the body, so that their number need not be sent.
      *
-     * @throws MalformedMessageException for an epoch that no session can have
-     * @throws IllegalArgumentException for counters that no courier can have
+     * @throws MalformedMessageException for an impossible epoch
+     * @throws IllegalArgumentException for impossible counters
      */
     static Counts read(final ByteBuffer from) throws MalformedMessageException {
         final long life = Varint.get(from);
@@ -56,14 +56,14 @@
             final long session = from.getLong();
             final long epoch = Varint.get(from);
             if (epoch > SessionState.MOST_EPOCH) {
-                throw new MalformedMessageException("a session's epoch of " + epoch);
+                throw new MalformedMessageException("invalid session epoch: " + epoch);
             }
             rows.add(new Row(session, (int) epoch, Counters.read(life, from)));
         }
         return new Counts(life, rows);
     }
 
-    /** The most bytes of rows that fit where so many are left for this message with its prefix. */
+    /** Maximum size of rows in a datagram that has {@code left} bytes for this message with its prefix. */
     static int room(final long life, final int left) {
         return Math.min(left - Rumours.PREFIX, Codec.MOST_BODY) - Varint.size(life);
     }
--- a/src/main/java/driftchute/fleet/session/Demotion.java
+++ b/src/main/java/driftchute/fleet/session/Demotion.java
@@ -6,7 +6,7 @@
 import java.nio.ByteBuffer;
 
 /**
- * A session's epoch, told because of a demotion ({@code heard} false: asks for an answer), or as the answer to one.
+ * A session's epoch, sent because of a demotion ({@code heard} false: asks for an answer) or as the answer.
  *
  * @param epoch 1 to 2^20
  */
@@ -30,12 +30,16 @@
         Varint.put(into, epoch);
     }
 
-    /** @throws MalformedMessageException for an epoch that no session can have */
+    /**
+     * Reads a demotion.
+     *
+     * @throws MalformedMessageException for an impossible epoch
+     */
     static Demotion read(final boolean heard, final ByteBuffer from) throws MalformedMessageException {
         final long session = from.getLong();
         final long epoch = Varint.get(from);
         if (epoch < 1 || epoch > SessionState.MOST_EPOCH) {
-            throw new MalformedMessageException("a session's epoch of " + epoch);
+            throw new MalformedMessageException("invalid session epoch: " + epoch);
         }
         return new Demotion(heard, session, (int) epoch);
     }
--- a/src/main/java/driftchute/fleet/session/Evidence.java
+++ b/src/main/java/driftchute/fleet/session/Evidence.java
@@ -3,43 +3,48 @@
 import driftchute.Courier.Effect;
 
 /**
- * What class the couriers' evidence gives a session; a function of the merged state alone. The figures:
+ * Derives a session's class from the couriers' evidence; a function of the merged state only. The figures:
  * docs/session-classes.md.
  */
 final class Evidence {
-    /** Harm rate of a healthy session: the base error of endpoints. */
+    /** Failure rate of a healthy session: the base error rate of endpoints. */
     static final double HEALTHY = 0.01;
-    /** Harm rate of a session that must not share. */
+    /** Failure rate of a session that must not share calls. */
     static final double HARMFUL = 0.10;
-    /** Chance that a harmful session is ever RUN: harms only its own messages then. */
+    /** Probability that a harmful session is ever {@code RUN}. It harms only its own messages then. */
     static final double RUN_RISK = 1.0 / 20;
-    /** Chance that a harmful session is ever ANY. */
+    /** Probability that a harmful session is ever {@code ANY}. */
     static final double ANY_RISK = 1.0 / 125;
-    /** Calls after which a healthy session is ANY with a chance of 0.957: unless over three of them failed. */
+    /**
+     * Calls after which a healthy session is {@code ANY} with a probability of 0.957, unless more than three of them
+     * failed.
+     */
     static final int ENOUGH_CALLS = 130;
-    /** What a harm adds, and what a call without takes off (Wald 1945). */
+    /** Log-likelihood that a failed call adds, and that a successful call subtracts (Wald 1945). */
     private static final double HARM = Math.log(HARMFUL / HEALTHY);
 
     private static final double GOOD = Math.log((1 - HEALTHY) / (1 - HARMFUL));
-    /** A lower bound above this on the harm in merged calls demotes, from the second one on. */
+    /** A lower bound on the failure rate of merged calls above this demotes the session, from the second failure on. */
     private static final double MOST_MERGED_HARM = 0.05;
 
     private static final int LEAST_MERGED_HARMS = 2;
-    /** Bars double with each epoch up to here, 32 times: a session that was demoted often needs 1,600 clean calls. */
+    /**
+     * Thresholds double with each epoch, up to 32 times: a session that was demoted often needs 1,600 successful calls.
+     */
     private static final int MOST_DOUBLINGS = 5;
     /**
-     * Share of a bar that one other courier's word can make up: two of them have to agree, or this one has to see
-     * itself.
+     * Maximum share of a threshold that another courier's evidence can provide: two couriers have to agree, or this one
+     * has to see it itself.
      */
     private static final double MOST_WORD = 0.5;
-    /** One call in so many: what is seen more often than that is a habit. */
+    /** A property that occurs in at least one of so many calls is typical of the session. */
     private static final int DEPENDENT_ONE_IN = 10;
 
     private static final int TROUBLE_ONE_IN = 20;
 
     private Evidence() {}
 
-    /** The class that this evidence gives it, as courier {@code self} sees it. */
+    /** The session's class by this evidence, as seen by courier {@code self}. */
     static SessionClass classOf(final SessionState state, final int self) {
         final Counters all = sum(state);
         if (state.epoch() >= SessionState.MOST_EPOCH
@@ -68,8 +73,8 @@
     }
 
     /**
-     * The sequential test: the logarithm of how much likelier a harmful session is by this evidence, at or below the
-     * bar.
+     * The sequential test: whether the log-likelihood ratio of a harmful to a healthy session is at or below the
+     * threshold.
      */
     private static boolean reaches(final SessionState state, final int self, final double bar) {
         double score = 0;
@@ -82,14 +87,14 @@
         return score <= -bar;
     }
 
-    /** True where merged calls with it fail too often, though none of its messages was proven to be the cause. */
+    /** True if merged calls with it fail too often, although none of its messages was proven to be the cause. */
     static boolean harmsMerged(final SessionState state) {
         final Counters all = sum(state);
         return all.mergedHarms() >= LEAST_MERGED_HARMS
                 && Wilson.lower(all.mergedHarms(), all.merged()) > MOST_MERGED_HARM;
     }
 
-    /** The counters of all couriers, added up. */
+    /** The sum of all couriers' counters. */
     static Counters sum(final SessionState state) {
         long calls = 0;
         long harms = 0;
--- a/src/main/java/driftchute/fleet/session/Latest.java
+++ b/src/main/java/driftchute/fleet/session/Latest.java
@@ -6,13 +6,17 @@
 import java.util.function.BiConsumer;
 import java.util.function.LongFunction;
 
-/** At most so many values by number; the one that was used longest ago goes first. */
+/** A bounded map by number that evicts the least recently used value. */
 final class Latest<V> {
     private final Map<Long, V> held = new LinkedHashMap<>();
     private final int most;
     private final BiConsumer<Long, V> gone;
 
-    /** @param gone is told of each value that has to go for another */
+    /**
+     * Creates the map.
+     *
+     * @param gone called with each evicted value
+     */
     Latest(final int most, final BiConsumer<Long, V> gone) {
         this.most = most;
         this.gone = gone;
@@ -22,7 +26,7 @@
         this(most, (key, value) -> {});
     }
 
-    /** The value, made where there is none, and now the one that was used last. */
+    /** The value, created if absent, and marked as the most recently used. */
     V use(final long key, final LongFunction<V> fresh) {
         final V old = held.remove(key);
         final V value = old == null ? fresh.apply(key) : old;
@@ -41,7 +45,7 @@
         }
     }
 
-    /** The value or null; it is not used by this. */
+    /** The value or null. Does not count as a use. */
     V get(final long key) {
         return held.get(key);
     }
@@ -50,7 +54,7 @@
         return held.remove(key);
     }
 
-    /** All of them, the one used longest ago first; may be removed from. */
+    /** All values, the least recently used first. Supports removal. */
     Map<Long, V> all() {
         return held;
     }
--- a/src/main/java/driftchute/fleet/session/Rumours.java
+++ b/src/main/java/driftchute/fleet/session/Rumours.java
@@ -10,19 +10,22 @@
 import java.util.Map;
 
 /**
- * Demotions on their way. One of this courier's own goes to each of the others at once, and again after waits that
- * double until it is confirmed; one that it was told rides along to those who may not have it, a few times. Both kinds
- * are bounded apart, so that a courier that tells of many cannot push out this one's own.
+ * Spreads demotions. A demotion by this courier is sent to each other courier at once, and repeated with doubling
+ * delays until it is confirmed. A demotion received from another is gossiped a few times to those that may not have it.
+ * Both kinds have separate bounds, so that a courier that sends many cannot displace this one's own.
  */
 final class Rumours {
-    /** Bytes of a message in a datagram beside its body: type and length. */
+    /** Size of the type and length before a message's body, bytes. */
     static final int PREFIX = 2;
-    /** First wait for a confirmation, us: above a round trip in a site; and tries in all, the last after 6.3 s. */
+    /**
+     * First delay before a repetition, us (above a round trip within a site), and the number of attempts; the last is
+     * after 6.3 s.
+     */
     private static final long FIRST_WAIT_US = 100_000;
 
     private static final int MOST_TRIES = 7;
     private static final int MOST = 256;
-    /** Times that a demotion which this courier was told rides to each of the others. */
+    /** Number of times a received demotion is gossiped to each other courier. */
     private static final int RIDES = 2;
 
     private static final class Rumour {
@@ -52,19 +55,19 @@
         this.couriers = couriers;
     }
 
-    /** This courier demoted a session: {@link #send} is due. */
+    /** This courier demoted a session; {@link #send} is due. */
     void start(final Moment now, final long session, final int epoch) {
         own.put(session, new Rumour(epoch, couriers, self, now.monoUs()));
     }
 
-    /** That courier told of a demotion that was news here. */
+    /** That courier sent a demotion that was news here. */
     void pass(final Moment now, final int from, final long session, final int epoch) {
         final Rumour rumour = new Rumour(epoch, couriers, self, now.monoUs());
         rumour.missing.clear(from);
         told.put(session, rumour);
     }
 
-    /** That courier holds this epoch of the session, or a later one. */
+    /** That courier has this epoch of the session, or a later one. */
     void known(final int courier, final long session, final int epoch) {
         for (final Latest<Rumour> some : List.of(own, told)) {
             final Rumour rumour = some.get(session);
@@ -74,7 +77,7 @@
         }
     }
 
-    /** Sends what is due; returns when the next is, monotonic us. */
+    /** Sends what is due; returns when the next is due, monotonic us. */
     long send(final Moment now, final Outbox out) {
         long next = Long.MAX_VALUE;
         for (final Iterator<Map.Entry<Long, Rumour>> it = own.all().entrySet().iterator(); it.hasNext(); ) {
@@ -94,7 +97,7 @@
         return next;
     }
 
-    /** What rides along to that courier within so many bytes. */
+    /** Gossip for that courier within so many bytes. */
     List<Message> ride(final int peer, final int room) {
         final List<Message> riding = new ArrayList<>();
         int left = room;
--- a/src/main/java/driftchute/fleet/session/SessionClass.java
+++ b/src/main/java/driftchute/fleet/session/SessionClass.java
@@ -1,12 +1,14 @@
 package driftchute.fleet.session;
 
-/** How a session's messages may be pooled into calls; each may do what the ones before it may. */
+/**
+ * How a session's messages may be pooled into calls. Each class permits what the ones before it permit. Logged by name.
+ */
 public enum SessionClass {
+    /** Each message has its own call. Every session starts here, and returns here without recent evidence. */
+    OWN,
     /**
-     * Each message in a call of its own: every session starts here, and is here wherever nothing recent is known of it.
+     * Messages of one run of the session (a burst, or a key in order) may share a call, but not with another session.
      */
-    OWN,
-    /** Messages of one of its runs (a clump, a key in turn) may share a call, with no other session's. */
     RUN,
     /** Its messages may share a call with those of any other such session of the same effect. */
     ANY
--- a/src/main/java/driftchute/fleet/session/SessionId.java
+++ b/src/main/java/driftchute/fleet/session/SessionId.java
@@ -5,15 +5,15 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** The name under which all couriers know a session: the messages of one account to one destination. */
+/** Computes the identifier under which all couriers know a session: the messages of one account to one destination. */
 public final class SessionId {
     private SessionId() {}
 
     /**
-     * The first 64 bits of SHA-256 (FIPS 180-4) over the destination and the account: nobody can cheaply choose an
-     * account that shares another's class. Takes about a microsecond: whoever needs it for each message keeps it.
+     * The first 64 bits of SHA-256 (FIPS 180-4) over destination and account, so that nobody can easily choose an
+     * account that shares another's class. Takes about a microsecond; callers that need it per message should cache it.
      *
-     * @param account the tenant's name; without tenants, what names one client connection in the whole tier
+     * @param account the tenant's name; without tenants, a name for one client connection that is unique in the tier
      */
     public static long of(final String account, final long destination) {
         try {
@@ -22,7 +22,7 @@
             return ByteBuffer.wrap(digest.digest(account.getBytes(StandardCharsets.UTF_8)))
                     .getLong();
         } catch (final NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 }
--- a/src/main/java/driftchute/fleet/session/SessionState.java
+++ b/src/main/java/driftchute/fleet/session/SessionState.java
@@ -6,12 +6,12 @@
 
 /**
  * What the couriers together know of a session: an epoch, and each courier's counters within it. Merging takes the
- * greater epoch whole, and within one epoch joins each courier's counters: a lexicographic order of semilattices
- * (state-based CRDTs: Shapiro, Preguica, Baquero, Zawirski 2011), so that the order, number and grouping of merges make
- * no difference.
+ * greater epoch; within one epoch it joins each courier's counters. This is a lexicographic order of semilattices
+ * (state-based CRDTs: Shapiro, Preguica, Baquero, Zawirski 2011), so the order, number and grouping of merges make no
+ * difference.
  */
 final class SessionState {
-    /** The last epoch: nothing can be demoted further, so that a session in it is OWN for good. */
+    /** The last epoch. A session in it cannot be demoted further, and is {@code OWN} for good. */
     static final int MOST_EPOCH = 1 << 20;
 
     private int epoch;
@@ -29,7 +29,7 @@
         return Collections.unmodifiableMap(byCourier);
     }
 
-    /** Voids what was known in an older epoch; does nothing where this epoch, or a newer one, is known. */
+    /** Drops the counters of an older epoch. Does nothing if this epoch, or a newer one, is known. */
     void raise(final int to) {
         if (to > epoch) {
             epoch = to;
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Takes one courier's counters of an epoch; those of an older epoch count for nothing. */
+    /** Adds one courier's counters of an epoch; those of an older epoch are ignored. */
     void join(final int of, final int courier, final Counters counters) {
         raise(of);
         if (of == epoch) {
--- a/src/main/java/driftchute/fleet/session/SessionView.java
+++ b/src/main/java/driftchute/fleet/session/SessionView.java
@@ -3,15 +3,14 @@
 import java.util.Map;
 
 /**
- * The sessions that may share calls, as one courier knows it at one moment; immutable, for the traffic's thread to
- * read.
+ * The sessions that may share calls, as one courier knows it at one time. Immutable, for the traffic's thread.
  *
- * @param classes sessions that are RUN or ANY; all others are OWN
- * @param groups suspects of a failed call, by the group within which alone they share calls; the others are in group 0
- * @param untilUs it counts for nothing from then on (monotonic us of this process): every session is OWN
+ * @param classes sessions that are {@code RUN} or {@code ANY}; all others are {@code OWN}
+ * @param groups suspects of a failed call, with the only group in which they may share calls; others are in group 0
+ * @param untilUs when it expires (monotonic us of this process); then every session is {@code OWN}
  */
 public record SessionView(Map<Long, SessionClass> classes, Map<Long, Integer> groups, long untilUs) {
-    /** Nothing is known. */
+    /** The empty view. */
     public static final SessionView NONE = new SessionView(Map.of(), Map.of(), Long.MIN_VALUE);
 
     /** Copies both maps. */
@@ -20,15 +19,15 @@
         groups = Map.copyOf(groups);
     }
 
-    /** A session's class at a moment of the monotonic clock. */
+    /** A session's class at a time of the monotonic clock. */
     public SessionClass classOf(final long session, final long nowUs) {
         return nowUs >= untilUs ? SessionClass.OWN : classes.getOrDefault(session, SessionClass.OWN);
     }
 
     /**
-     * True where a message of one session may be in a call with one of another, or of the same one. It holds for all of
-     * a call where it holds for each pair. The caller asks only for messages of the same effect, and keeps the order
-     * that keys ask for.
+     * True if messages of these two sessions, which may be the same, may be in one call. A call is allowed if this
+     * holds for each pair of its messages. The caller asks only for messages of the same effect, and keeps the order of
+     * keys.
      *
      * @param sameRun both are of the same run of the same session
      */
--- a/src/main/java/driftchute/fleet/session/Sessions.java
+++ b/src/main/java/driftchute/fleet/session/Sessions.java
@@ -16,27 +16,31 @@
 import java.util.TreeMap;
 
 /**
- * Session classes: who may share a call (docs/session-classes.md). It is told how each call ended, holds what the
- * couriers together know of each session, and says which may share. One thread calls it; the traffic
- * reads {@link #view}.
+ * Session classes, which decide what may share a call (docs/session-classes.md). Receives how each call ended, combines
+ * what the couriers know of each session, and derives its class. Used by one thread; the traffic reads {@link #view}.
  */
 public final class Sessions implements Part, Rider {
-    /** Sessions held, least recently called first to go: 4 MB with ten couriers that all see all of them. */
+    /**
+     * Maximum number of sessions, evicted by the least recent call: 4 MB with ten couriers that all see all of them.
+     */
     static final int MOST_SESSIONS = 4096;
-    /** Epochs held of sessions that are not held any more, or not yet. */
+    /** Maximum number of epochs of sessions that are no longer, or not yet, stored. */
     private static final int MOST_FORGOTTEN = 4096;
-    /** Fewer calls of its own than this and a courier's counters are not worth the bytes. */
+    /** Minimum number of own calls for a courier's counters to be worth sending. */
     private static final int WORTH_TELLING = 8;
-    /** Sessions looked at for one datagram: some may have grown old meanwhile. */
+    /** Maximum number of sessions examined for one datagram; some may have expired meanwhile. */
     private static final int MOST_LOOKED_AT = 64;
     /**
-     * A message this soon after the end of the one before, us, so many times in a row, waits for it: a local
-     * turn-around.
+     * A message that arrives this soon after the previous one's end, us, so many times in a row, depends on it: a local
+     * round trip.
      */
     private static final long RIGHT_AFTER_US = 5_000;
 
     private static final int DEPENDENT_RUN = 4;
-    /** Three quarters of the largest body (PROTOCOL: 64 KiB); two of these make a call that nobody wants to repeat. */
+    /**
+     * Size of a large body: three quarters of the largest (PROTOCOL: 64 KiB). Two of these make a call that is
+     * expensive to repeat.
+     */
     private static final int LARGE_BYTES = 48 * 1024;
 
     private static final long TICK_US = 1_000_000;
@@ -68,10 +72,10 @@
     private long freshUntilUs = Long.MIN_VALUE;
 
     /**
-     * Nothing is known yet: every session is OWN.
+     * Starts without evidence: every session is {@code OWN}.
      *
-     * @param life grows with every start of this courier, 0 or more
-     * @param staleUs age beyond which nothing counts for a class, us
+     * @param life generation of this process, which grows with every start of this courier, 0 or more
+     * @param staleUs age at which evidence expires, us
      * @param seed for the search among suspects
      */
     public Sessions(final Tier tier, final long life, final long staleUs, final long seed, final Events events) {
@@ -84,10 +88,11 @@
         rumours = new Rumours(tier.self(), tier.size());
     }
 
-    // ---------------------------------------------------------------- what may share
+    // ---------------------------------------------------------------- classes
 
     /**
-     * This courier hears a majority of the tier, itself included; a class holds for {@code staleUs} from the last time.
+     * This courier hears from a majority of the tier, itself included. Classes are valid for {@code staleUs} from the
+     * last call.
      */
     public void heardMajority(final Moment now) {
         freshUntilUs = now.monoUs() + staleUs;
@@ -103,7 +108,7 @@
         return now.monoUs() - held.evidenceUs < staleUs;
     }
 
-    /** All that may share, for the traffic; a look at each session held. */
+    /** All sessions that may share calls, for the traffic. Iterates over all sessions. */
     public SessionView view(final Moment now) {
         final Map<Long, SessionClass> classes = new HashMap<>();
         sessions.all().forEach((session, held) -> {
@@ -114,7 +119,7 @@
         return new SessionView(classes, splitter.groups(), freshUntilUs);
     }
 
-    /** A session's class and why, on one line for the operators. */
+    /** A session's class and the reasons for it, in one line for the operators. */
     public String describe(final long session, final Moment now) {
         final Held held = sessions.get(session);
         if (held == null) {
@@ -146,9 +151,9 @@
         return one.name().toLowerCase(Locale.ROOT);
     }
 
-    // ---------------------------------------------------------------- what the traffic saw
+    // ---------------------------------------------------------------- outcomes of calls
 
-    /** A call has ended at this moment. */
+    /** Records the end of a call. */
     public void observe(final Moment now, final CallOutcome call, final Outbox out) {
         for (final CallOutcome.Share share : call.shares()) {
             habits(now, share);
@@ -245,7 +250,7 @@
             return;
         }
         if (all.size() > 1) {
-            // One that was demoted while the call was under way explains its end.
+            // A session that was demoted while the call was in flight explains its failure.
             if (all.stream()
                     .map(sessions::get)
                     .noneMatch(held -> held.state.epoch() > 0 && held.earned == SessionClass.OWN)) {
@@ -293,7 +298,7 @@
         splitter.proven(session);
     }
 
-    // ---------------------------------------------------------------- what the couriers tell each other
+    // ---------------------------------------------------------------- messages between couriers
 
     @Override
     public Map<Integer, Message.Reader> readers() {
@@ -339,12 +344,12 @@
         }
     }
 
-    /** How many sessions are held. */
+    /** Number of stored sessions. */
     int size() {
         return sessions.all().size();
     }
 
-    /** The epoch that is known of a session, held or not. */
+    /** The known epoch of a session, stored or not. */
     int epochOf(final long session) {
         final Held held = sessions.get(session);
         final Integer old = forgotten.get(session);
@@ -354,7 +359,7 @@
         return old == null ? 0 : old;
     }
 
-    /** True where this epoch is news of a session that is held. */
+    /** True if this epoch is news of a stored session. */
     private boolean learn(final long session, final int epoch) {
         if (epoch <= epochOf(session)) {
             return false;
--- a/src/main/java/driftchute/fleet/session/Splitter.java
+++ b/src/main/java/driftchute/fleet/session/Splitter.java
@@ -11,33 +11,36 @@
 import java.util.Set;
 
 /**
- * Tells a poisoner apart among the sessions of a failed call by halving them (group testing: Dorfman 1943; Hwang 1972).
- * The sessions of a failed call become suspects in two groups, and share calls only within their group; a group's
- * failed call is split again. A suspect is cleared by several good calls in a row; one that goes on failing alone is
- * the poisoner, and the other suspects of the same first failure (its chain) are free again.
+ * Finds the harmful session among the sessions of a failed call by halving (group testing: Dorfman 1943; Hwang 1972).
+ * The sessions of a failed call become suspects in two groups and share calls only within their group; a group's failed
+ * call is split again. Several successful calls in a row clear a suspect. One that continues to fail alone is the
+ * harmful one, and the other suspects of the same first failure (its chain) are cleared.
  */
 final class Splitter {
-    /** Good calls in a row that clear a suspect: one that spoils half its calls slips through once in 16 times. */
+    /**
+     * Successful calls in a row that clear a suspect. A session that spoils half its calls passes with a probability of
+     * 1/16.
+     */
     static final int CLEARING = 4;
     /**
-     * Each search that a session came out of unproven doubles them, to 64: one that spoils a tenth slips through once
-     * in 850.
+     * Each search from which a session came out unproven doubles them, up to 64: one that spoils a tenth passes once in
+     * 850.
      */
     private static final int MOST_STRIKES = 4;
-    /** Good calls after which one such search is forgotten: a third of what a base error of 1% leaves between two. */
+    /**
+     * Successful calls after which one such search is forgotten: a third of the mean distance of two failures at a base
+     * error rate of 1%.
+     */
     private static final int FORGIVING = 30;
     /**
-     * Failures since the first, and of them alone, that prove, where the failures alone are also above this rate
-     * (Wilson, 95%).
+     * Failures since the first, and failures alone, that prove a session harmful if the rate of the latter also exceeds
+     * this (Wilson, 95%).
      */
     static final int PROOF = 4;
 
     private static final int PROOF_ALONE = 2;
     private static final double PROOF_RATE = 0.05;
-    /**
-     * A search that ends without proof is held against so many last suspects at the most: a group of this size is split
-     * once.
-     */
+    /** A search without proof counts against at most so many last suspects: a group of this size is split once. */
     private static final int LAST_SUSPECTS = 3;
 
     private static final int MOST_SUSPECTS = 1024;
@@ -46,9 +49,9 @@
         final long chain;
         final int group;
         final int failures;
-        /** How many failed together, the last time. */
+        /** Number of sessions in the last failed call. */
         final int among;
-        /** Failures and all calls alone. */
+        /** Failures and calls of the session alone. */
         int alone;
 
         int callsAlone;
@@ -62,7 +65,7 @@
         }
     }
 
-    /** Searches that a session came out of unproven of late, and its good calls since. */
+    /** Recent searches from which a session came out unproven, and its successful calls since. */
     private static final class Strikes {
         int count;
         int passes;
@@ -74,12 +77,16 @@
     private long chains;
     private int groups;
 
-    /** @param seed decides who comes into which half */
+    /**
+     * Creates the search.
+     *
+     * @param seed decides which half a session is in
+     */
     Splitter(final long seed) {
         random = new Random(seed);
     }
 
-    /** The group within which this session may share calls; 0 where it is no suspect. */
+    /** The group within which this session may share calls; 0 if it is not a suspect. */
     int groupOf(final long session) {
         final Suspect suspect = suspects.get(session);
         return suspect == null ? 0 : suspect.group;
@@ -93,8 +100,8 @@
     }
 
     /**
-     * A call with all of these has failed: splits them. One of several groups was under way when they were split and
-     * says nothing new of those; its free ones become suspects.
+     * A call with all of these has failed: splits them. A call of several groups was in flight when they were split, so
+     * it says nothing new about those; its other sessions become suspects.
      */
     void failed(final Collection<Long> sessions) {
         final Set<Integer> of = new HashSet<>();
@@ -123,8 +130,8 @@
     }
 
     /**
-     * A call with this session alone has failed; true where that makes it proven, if the destination does well for
-     * others.
+     * A call with this session alone has failed. True if this proves it harmful, provided that the destination is
+     * healthy for others.
      */
     boolean failedAlone(final long session) {
         final Suspect old = suspects.get(session);
@@ -140,8 +147,7 @@
     }
 
     /**
-     * A call with these went well. Returns those that are cleared by it and were the last suspects of an unproven
-     * search.
+     * A call with these succeeded. Returns those that it clears and that were the last suspects of an unproven search.
      */
     List<Long> passed(final Collection<Long> sessions) {
         final List<Long> unproven = new ArrayList<>();
@@ -175,7 +181,7 @@
         }
     }
 
-    /** This one did it: it is no suspect any more, and those of its chain are free. */
+    /** This session is proven harmful: it is no longer a suspect, and those of its chain are cleared. */
     void proven(final long session) {
         final Suspect poisoner = suspects.get(session);
         if (poisoner != null) {
--- a/src/main/java/driftchute/fleet/session/Wilson.java
+++ b/src/main/java/driftchute/fleet/session/Wilson.java
@@ -1,18 +1,18 @@
 package driftchute.fleet.session;
 
-/** One-sided bounds (95% each) on a rate, from how often it was seen (Wilson 1927; Brown, Cai, DasGupta 2001). */
+/** One-sided 95% bounds on a rate from observed counts (Wilson 1927; Brown, Cai, DasGupta 2001). */
 final class Wilson {
-    /** The normal distribution's quantile of 0.95. */
+    /** The 0.95 quantile of the normal distribution. */
     private static final double Z = 1.6448536269514722;
 
     private Wilson() {}
 
-    /** The rate is below this; 1 where nothing was seen. */
+    /** Upper bound of the rate; 1 without observations. */
     static double upper(final long hits, final long of) {
         return of == 0 ? 1 : bound(hits, of, 1);
     }
 
-    /** The rate is above this; 0 where nothing was seen. */
+    /** Lower bound of the rate; 0 without observations. */
     static double lower(final long hits, final long of) {
         return of == 0 ? 0 : bound(hits, of, -1);
     }
