--- a/src/main/java/driftchute/fleet/Codec.java
+++ b/src/main/java/driftchute/fleet/Codec.java
@@ -9,24 +9,24 @@
 import java.util.Map;
 
 /**
- * Frames: one datagram of at most 256 bytes (PROTOCOL-irishead.md, Between couriers) with a version, the tier's epoch and
- * messages. What cannot be read is counted by reason and dropped; nothing that comes can make it throw.
+ * Encodes and decodes frames: datagrams of at most 256 bytes (PROTOCOL-irishead.md, Between couriers) with a version,
+ * the tier's epoch and messages. Invalid input is counted by reason and dropped; no input makes it throw.
  */
 public final class Codec {
-    /** The longest datagram that a courier may send; a longer one voids the run. */
+    /** Maximum size of a datagram, bytes. A longer one violates the protocol. */
     public static final int MOST_BYTES = 256;
-    /** This release's frames. */
+    /** Version of the frames that this release writes. */
     static final int VERSION = 1;
-    /** Version and epoch. */
+    /** Size of the version and the epoch, bytes. */
     static final int HEADER = 5;
-    /** Type and length before each body. */
+    /** Size of the type and length before each body, bytes. */
     static final int PREFIX = 2;
-    /** The longest body of a message that has a datagram to itself. */
+    /** Maximum body of a message that has a datagram to itself, bytes. */
     public static final int MOST_BODY = MOST_BYTES - HEADER - PREFIX;
 
     private static final int BYTE = 0xFF;
 
-    /** Why a frame, or a message in it, was dropped. */
+    /** The reason for dropping a frame or one of its messages. Logged by name. */
     public enum Drop {
         VERSION,
         EPOCH,
@@ -39,21 +39,21 @@
     private final Map<Integer, Message.Reader> readers;
     private final EnumMap<Drop, Long> drops = new EnumMap<>(Drop.class);
 
-    /** A codec for the frames of one epoch, whose messages these readers understand. */
+    /** Creates a codec for frames of one epoch and the message types that these readers understand. */
     public Codec(final int epoch, final Map<Integer, Message.Reader> readers) {
         this.epoch = epoch;
         this.readers = new HashMap<>(readers);
     }
 
     /**
-     * One datagram with all of these messages.
+     * Encodes messages into one datagram.
      *
-     * @throws IllegalArgumentException where they make more than {@link #MOST_BYTES}, or one lies about its size
+     * @throws IllegalArgumentException if they exceed {@link #MOST_BYTES}, or one reports a wrong size
      */
     public byte[] encode(final List<Message> messages) {
         final int size = HEADER + messages.stream().mapToInt(Codec::sizeOf).sum();
         if (size > MOST_BYTES) {
-            throw new IllegalArgumentException("a datagram of " + size + " bytes; " + MOST_BYTES + " are the most");
+            throw new IllegalArgumentException("a datagram of " + size + " bytes; " + MOST_BYTES + " is the maximum");
         }
         final ByteBuffer into = ByteBuffer.allocate(size);
         into.put((byte) VERSION).putInt(epoch);
@@ -62,18 +62,18 @@
             final int from = into.position();
             message.write(into);
             if (into.position() - from != message.size()) {
-                throw new IllegalArgumentException("a message of another size than it says: " + message);
+                throw new IllegalArgumentException("the size of a message differs from the reported one: " + message);
             }
         }
         return into.array();
     }
 
-    /** Bytes that a message takes in a datagram. */
+    /** Size of a message in a datagram, bytes. */
     static int sizeOf(final Message message) {
         return PREFIX + message.size();
     }
 
-    /** The messages of a datagram; none where it is dropped. A message of an unknown type is left out, and counted. */
+    /** The messages of a datagram; none if it is dropped. Messages of unknown types are left out and counted. */
     public List<Message> decode(final byte[] datagram) {
         if (datagram.length < HEADER || datagram.length > MOST_BYTES) {
             return dropped(Drop.LENGTH);
@@ -116,7 +116,7 @@
         return List.of();
     }
 
-    /** How often something was dropped, by reason; reasons that never came are absent. */
+    /** Number of dropped frames and messages by reason; reasons that never occurred are absent. */
     public Map<Drop, Long> drops() {
         return new EnumMap<>(drops);
     }
--- a/src/main/java/driftchute/fleet/Duty.java
+++ b/src/main/java/driftchute/fleet/Duty.java
@@ -4,19 +4,19 @@
 import java.util.OptionalLong;
 
 /**
- * A duty as this courier knows it: at most one courier holds it at any true moment, under a token that grows with every
- * holder (docs/fleet-leases.md). Moments are on this courier's clocks.
+ * A role that at most one courier holds at any time, under a fencing token that grows with every holder
+ * (docs/fleet-leases.md). Times are on this courier's clocks.
  */
 public interface Duty {
-    /** Who holds a duty, by its number in the tier, and the fencing token under which it does. */
+    /** The holder of a role by its number in the tier, and its fencing token. */
     record Holding(int courier, long token) {}
 
-    /** The token under which this courier holds the duty at that moment; empty where its lease may have run out. */
+    /** The token under which this courier holds the role at that time; empty if its lease may have expired. */
     OptionalLong held(Moment now);
 
-    /** The holder that this courier knows of; it may be one that no longer is. */
+    /** The holder that this courier knows of, which may have lost the role since. */
     Optional<Holding> holder(Moment now);
 
-    /** False for the token of a holder that another has followed, as far as this courier has heard. */
+    /** False for a token that a later holder has superseded, as far as this courier knows. */
     boolean accepts(long token);
 }
--- a/src/main/java/driftchute/fleet/Events.java
+++ b/src/main/java/driftchute/fleet/Events.java
@@ -1,10 +1,14 @@
 package driftchute.fleet;
 
-/** Where a part tells what an operator should know: one structured line each (names and values alternate). */
+/** Receives events for the operators' log: one structured line each. */
 public interface Events {
-    /** Nobody listens. */
+    /** Discards all events. */
     Events NONE = (name, fields) -> {};
 
-    /** @param fields names (strings) and values (strings, numbers, booleans), alternating */
+    /**
+     * Logs an event.
+     *
+     * @param fields alternating names (strings) and values (strings, numbers, booleans)
+     */
     void event(String name, Object... fields);
 }
--- a/src/main/java/driftchute/fleet/FleetBlock.java
+++ b/src/main/java/driftchute/fleet/FleetBlock.java
@@ -4,18 +4,19 @@
 import java.util.List;
 
 /**
- * The {@code fleet} block of the configuration. Absent figures take their defaults; unknown names are an error, since a
- * misspelt one would silently mean its default.
+ * The {@code fleet} block of the configuration. Missing values take their defaults. Unknown names are an error, because
+ * a misspelt one would silently leave the default.
  *
- * @param epoch which numbering of {@code peers} this is; couriers of another do not understand each other. 0 to 2^31 - 1
- * @param version version of this block, for what couriers with different blocks must agree on (lanes). 0 or more
- * @param probeMs period of membership's probes, ms (default 1,000; 100 to 60,000)
- * @param leaseMs how long a duty is held without renewal, ms (default 3,000; 300 to 60,000)
- * @param rationMs how long a ration holds, ms (default 1,500; 200 to 60,000)
- * @param reserve share of each limit that is never leased but split evenly, above 0 and at most 1 (default 0.2)
- * @param driftPpm how far two monotonic clocks may run apart, millionths (default 1,000; 0 to 100,000)
- * @param staleMs age beyond which a verdict counts for nothing, ms (default 10,000; 1,000 to 600,000)
- * @param lanes priority lanes, the first the last to be shed (default none)
+ * @param epoch identifies the numbering of {@code peers}; couriers with another epoch are ignored. 0 to 2^31 - 1
+ * @param version version of this block, for settings that couriers with different blocks must agree on (lanes). 0 or
+ * more
+ * @param probeMs period of membership probes, ms (default 1,000; 100 to 60,000)
+ * @param leaseMs duration of a role lease without renewal, ms (default 3,000; 300 to 60,000)
+ * @param rationMs duration of a rate lease, ms (default 1,500; 200 to 60,000)
+ * @param reserve share of each limit that is never leased but divided evenly, above 0 and at most 1 (default 0.2)
+ * @param driftPpm maximum drift between two monotonic clocks, parts per million (default 1,000; 0 to 100,000)
+ * @param staleMs age at which a verdict expires, ms (default 10,000; 1,000 to 600,000)
+ * @param lanes priority lanes, the first one shed last (default none)
  */
 public record FleetBlock(
         @JsonProperty("epoch") Integer epoch,
@@ -33,11 +34,11 @@
      * One priority lane.
      *
      * @param name its name, not empty
-     * @param tenants tenants that it holds, by name (default none)
-     * @param classes classes that it holds, by name (default none)
+     * @param tenants names of its tenants (default none)
+     * @param classes names of its message classes (default none)
      * @param share guaranteed share of each destination's limit, 0 to 1 (default 0)
-     * @param quota messages a second that an account may send in it; 0 (the default): any number
-     * @param rest it takes all accounts that no lane names; without one the last lane does
+     * @param quota messages per second that an account may send in it; 0 (the default) means no bound
+     * @param rest whether it gets all accounts that no lane names; without such a lane the last one does
      */
     public record LaneBlock(
             @JsonProperty("name") String name,
@@ -46,7 +47,11 @@
             @JsonProperty("share") Double share,
             @JsonProperty("quota") Double quota,
             @JsonProperty("rest") Boolean rest) {
-        /** @throws IllegalArgumentException for a figure out of its bounds */
+        /**
+         * Applies defaults and checks the values.
+         *
+         * @throws IllegalArgumentException for a value out of bounds
+         */
         public LaneBlock {
             require(name != null && !name.isBlank(), "a lane has no name");
             tenants = tenants == null ? List.of() : List.copyOf(tenants);
@@ -61,7 +66,11 @@
         }
     }
 
-    /** @throws IllegalArgumentException for a figure out of its bounds, in one line that names it */
+    /**
+     * Applies defaults and checks the values.
+     *
+     * @throws IllegalArgumentException for a value out of bounds, in one line that names it
+     */
     public FleetBlock {
         epoch = bounded("epoch", epoch, 0, 0, Integer.MAX_VALUE);
         version = bounded("version", version, 0, 0, Integer.MAX_VALUE);
--- a/src/main/java/driftchute/fleet/Mail.java
+++ b/src/main/java/driftchute/fleet/Mail.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What the parts say in one turn, packed into as few datagrams as hold it; riders fill what room is left. */
+/** Packs the messages of one turn into as few datagrams as possible. Gossip fills the space left. */
 final class Mail implements Outbox {
-    /** One datagram to one courier. */
+    /** One datagram for one courier. */
     record Datagram(int peer, byte[] bytes) {}
 
     private final Tier tier;
@@ -33,12 +33,12 @@
         }
     }
 
-    /** The next message that a part of this courier sent to this courier, or null. */
+    /** The next message that a component of this courier sent to this courier, or null. */
     Message ownNext() {
         return own.poll();
     }
 
-    /** Packs all that waits, each message whole; the last datagram to a courier takes riders along. */
+    /** Packs all waiting messages, each in one piece. The last datagram for a courier also carries gossip. */
     List<Datagram> pack(final Moment now, final List<Rider> riders) {
         final List<Datagram> datagrams = new ArrayList<>();
         waiting.forEach((peer, messages) -> {
--- a/src/main/java/driftchute/fleet/MalformedMessageException.java
+++ b/src/main/java/driftchute/fleet/MalformedMessageException.java
@@ -1,10 +1,14 @@
 package driftchute.fleet;
 
-/** A message whose bytes mean nothing. */
+/** Thrown for a message whose bytes are invalid. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** @param reason what is wrong with it */
+    /**
+     * Creates the exception.
+     *
+     * @param reason what is wrong with the message
+     */
     public MalformedMessageException(final String reason) {
         super(reason);
     }
--- a/src/main/java/driftchute/fleet/Message.java
+++ b/src/main/java/driftchute/fleet/Message.java
@@ -3,26 +3,26 @@
 import java.nio.ByteBuffer;
 
 /**
- * One thing that a courier tells another; a datagram holds several. Types: membership 0x10 to 0x1F, leases 0x20, rations
- * 0x30, verdicts 0x40, lanes 0x50, sessions 0x60, each with sixteen.
+ * A message between couriers; a datagram holds several. Types by component: membership 0x10 to 0x1F, role leases 0x20,
+ * rate leases 0x30, verdicts 0x40, lanes 0x50, sessions 0x60, sixteen each.
  */
 public interface Message {
-    /** Its type, 1 to 255. */
+    /** The message type, 1 to 255. */
     int type();
 
-    /** Bytes of its body, at most {@link Codec#MOST_BODY}. */
+    /** Size of its body in bytes, at most {@link Codec#MOST_BODY}. */
     int size();
 
     /** Writes exactly {@link #size()} bytes. */
     void write(ByteBuffer into);
 
-    /** Reads the body of one type. */
+    /** Parses the body of one message type. */
     interface Reader {
         /**
-         * Reads a body to its end; what is left over, or missing, makes the frame unreadable.
+         * Parses a complete body. Bytes that are left over or missing make the frame invalid.
          *
-         * @throws MalformedMessageException where the bytes mean nothing
-         * @throws java.nio.BufferUnderflowException where they end early (the codec treats it the same)
+         * @throws MalformedMessageException if the bytes are invalid
+         * @throws java.nio.BufferUnderflowException if bytes are missing (the codec treats both alike)
          */
         Message read(ByteBuffer body) throws MalformedMessageException;
     }
--- a/src/main/java/driftchute/fleet/Plane.java
+++ b/src/main/java/driftchute/fleet/Plane.java
@@ -6,16 +6,20 @@
 import java.util.Map;
 
 /**
- * The control plane of one courier: joins the parts, hands each message to the part that understands it, and packs what they
- * say. Pure; one thread calls it.
+ * The control plane of one courier: connects the components, passes each message to the component that understands it,
+ * and packs what they send. Has no clock or I/O; used by one thread.
  */
 public final class Plane {
-    /** Messages that one turn may hand from a part of this courier to a part of this courier: a bound on loops. */
+    /** Maximum number of messages between components of this courier in one turn, to stop endless loops. */
     private static final int MOST_OWN = 1000;
 
-    /** Where datagrams go. */
+    /** Sends datagrams. */
     public interface Sender {
-        /** @param datagram at most {@link Codec#MOST_BYTES} */
+        /**
+         * Sends a datagram to a peer.
+         *
+         * @param datagram at most {@link Codec#MOST_BYTES}
+         */
         void send(int peer, byte[] datagram);
     }
 
@@ -28,9 +32,9 @@
     private final Tier tier;
 
     /**
-     * Joins these parts, in the order in which they act.
+     * Connects these components, in the order in which they act.
      *
-     * @throws IllegalArgumentException where two parts claim one type of message
+     * @throws IllegalArgumentException if two components claim the same message type
      */
     public Plane(final Tier tier, final List<Part> parts, final Sender sender) {
         this.tier = tier;
@@ -40,7 +44,7 @@
         for (final Part part : parts) {
             part.readers().forEach((type, reader) -> {
                 if (readers.put(type, reader) != null) {
-                    throw new IllegalArgumentException("two parts claim messages of type " + type);
+                    throw new IllegalArgumentException("two components claim messages of type " + type);
                 }
                 byType.put(type, part);
             });
@@ -52,7 +56,7 @@
         this.mail = new Mail(tier, codec);
     }
 
-    /** A datagram has come from that courier's address. Nothing in it can make this throw. */
+    /** Handles a datagram from that courier's address. No content can make this throw. */
     public void receive(final Moment now, final int from, final byte[] datagram) {
         if (from < 0 || from >= tier.size() || from == tier.self()) {
             return;
@@ -62,9 +66,9 @@
     }
 
     /**
-     * Time has passed: every part does what is due.
+     * Lets every component perform the work that is due.
      *
-     * @return when to call again at the latest, monotonic us
+     * @return the latest time for the next call, monotonic us
      */
     public long tick(final Moment now) {
         long next = Long.MAX_VALUE;
@@ -75,24 +79,24 @@
         return next;
     }
 
-    /** Where a part is told something outside of messages and ticks, it speaks through this; {@link #flush} sends it. */
+    /** The outbox for components that are called other than by messages and ticks. {@link #flush} sends its content. */
     public Outbox outbox() {
         return mail;
     }
 
-    /** Sends what the parts have said since the last flush. */
+    /** Sends the messages collected since the last flush. */
     public void flush(final Moment now) {
         int left = MOST_OWN;
         for (Message own = mail.ownNext(); own != null; own = mail.ownNext()) {
             if (left-- == 0) {
-                throw new IllegalStateException("parts of this courier answer each other without end: " + own);
+                throw new IllegalStateException("components of this courier answer each other in an endless loop: " + own);
             }
             byType.get(own.type()).receive(now, tier.self(), own, mail);
         }
         mail.pack(now, riders).forEach(datagram -> sender.send(datagram.peer(), datagram.bytes()));
     }
 
-    /** How often something that came was dropped, by reason. */
+    /** Number of dropped frames and messages by reason. */
     public Map<Codec.Drop, Long> drops() {
         return codec.drops();
     }
--- a/src/main/java/driftchute/fleet/Varint.java
+++ b/src/main/java/driftchute/fleet/Varint.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 
-/** Unsigned whole numbers in groups of seven bits, the lowest first (LEB128, DWARF 4, section 7.6). */
+/** Unsigned integers in groups of seven bits, the lowest first (LEB128, DWARF 4, section 7.6). */
 public final class Varint {
     private static final int GROUP = 7;
     private static final int MORE = 0x80;
@@ -10,15 +10,19 @@
 
     private Varint() {}
 
-    /** Bytes that a number of 0 or more takes. */
+    /** Encoded size of a non-negative number, bytes. */
     public static int size(final long value) {
         return Math.max(1, (Long.SIZE - Long.numberOfLeadingZeros(value) + GROUP - 1) / GROUP);
     }
 
-    /** @throws IllegalArgumentException for a number below 0 */
+    /**
+     * Writes a number.
+     *
+     * @throws IllegalArgumentException for a negative number
+     */
     public static void put(final ByteBuffer into, final long value) {
         if (value < 0) {
-            throw new IllegalArgumentException("a number below 0: " + value);
+            throw new IllegalArgumentException("negative number: " + value);
         }
         long rest = value;
         while (rest >= MORE) {
@@ -28,7 +32,11 @@
         into.put((byte) rest);
     }
 
-    /** @throws MalformedMessageException for a number above 63 bits */
+    /**
+     * Reads a number.
+     *
+     * @throws MalformedMessageException for a number above 63 bits
+     */
     public static long get(final ByteBuffer from) throws MalformedMessageException {
         long value = 0;
         for (int shift = 0; shift < MOST_BITS; shift += GROUP) {
--- a/src/main/java/driftchute/fleet/lease/Acceptor.java
+++ b/src/main/java/driftchute/fleet/lease/Acceptor.java
@@ -1,12 +1,12 @@
 package driftchute.fleet.lease;
 
 /**
- * An acceptor of one duty (PaxosLease; docs/fleet-leases.md). Its one rule for safety: locked by one process, it takes
- * nothing of another until the lock has run out by its own clock or that process has released it. Promises only keep
- * proposers from splitting the votes, and tokens in order. All times are its own monotonic clock, us.
+ * The acceptor of one role (PaxosLease; docs/fleet-leases.md). Safety rests on one rule: while locked by one process,
+ * it accepts no other until the lock has expired on its own clock or that process has released it. Promises only avoid
+ * split votes and keep the tokens in order. Times are its own monotonic clock, us.
  */
 final class Acceptor {
-    /** A ballot until a moment. */
+    /** A ballot with an expiry time. */
     private record Timed(Ballot ballot, long untilUs) {}
 
     private final Terms terms;
@@ -19,7 +19,7 @@
         this.terms = terms;
     }
 
-    /** True if it is open to that ballot, which it has then promised. */
+    /** True if it accepts proposals of that ballot; the ballot is promised then. */
     boolean prepare(final long nowUs, final Ballot ballot) {
         if (ballot.token() <= fence || promised(nowUs) > ballot.token() || lockedUs(nowUs, ballot) > 0) {
             return false;
@@ -34,7 +34,7 @@
         return kept && accept(nowUs, ballot);
     }
 
-    /** True if it is now locked to the ballot of a process that holds. */
+    /** True if it is now locked to the ballot of a process that renews its lease. */
     boolean renew(final long nowUs, final Ballot ballot) {
         final boolean outdone =
                 promised(nowUs) > ballot.token() && !promise.ballot().sameProcess(ballot);
@@ -50,7 +50,7 @@
         return true;
     }
 
-    /** A process has told that it holds by this ballot and those before no longer. True if this ends a lock. */
+    /** Handles a release of this ballot and all earlier ones of that process. True if it ends a lock. */
     boolean release(final Ballot last) {
         if (released == null || !released.sameProcess(last) || released.token() < last.token()) {
             released = last;
@@ -80,17 +80,17 @@
         return by == null || by.sameProcess(ballot) ? 0 : lock.untilUs() - nowUs;
     }
 
-    /** The token of the promise in force, or 0. */
+    /** The token of the present promise, or 0. */
     long promised(final long nowUs) {
         return promise != null && nowUs < promise.untilUs() ? promise.ballot().token() : 0;
     }
 
-    /** The highest token that it has accepted or that its courier has held. */
+    /** The highest token that it has accepted or that its own courier has held. */
     long fence() {
         return fence;
     }
 
-    /** Its courier holds by this token. */
+    /** Its own courier holds the role under this token. */
     void held(final long token) {
         fence = Math.max(fence, token);
     }
--- a/src/main/java/driftchute/fleet/lease/Answer.java
+++ b/src/main/java/driftchute/fleet/lease/Answer.java
@@ -6,19 +6,19 @@
 import java.nio.ByteBuffer;
 
 /**
- * An acceptor's yes to one question.
+ * A positive reply of an acceptor.
  *
  * @param type one of the constants
- * @param duty the duty's number
+ * @param duty the role's number
  * @param life the process that asked
- * @param serial number of its question
+ * @param serial number of its request
  */
 record Answer(int type, int duty, int life, long serial) implements Message {
-    /** To a prepare: open, and promised. */
+    /** Reply to a prepare: promised. */
     static final int OPEN = 0x24;
-    /** To a propose or renew: accepted. */
+    /** Reply to a propose or renew: accepted. */
     static final int ACCEPTED = 0x25;
-    /** Duties that a tier may have: a number of one byte. */
+    /** Maximum number of roles in a tier, so that a role number takes one byte. */
     static final int MOST_DUTIES = 128;
 
     @Override
@@ -40,7 +40,7 @@
     static int dutyIn(final ByteBuffer body) throws MalformedMessageException {
         final long duty = Varint.get(body);
         if (duty >= MOST_DUTIES) {
-            throw new MalformedMessageException("no duty has the number " + duty);
+            throw new MalformedMessageException("invalid role number " + duty);
         }
         return (int) duty;
     }
--- a/src/main/java/driftchute/fleet/lease/Ballot.java
+++ b/src/main/java/driftchute/fleet/lease/Ballot.java
@@ -1,20 +1,23 @@
 package driftchute.fleet.lease;
 
 /**
- * A ballot of one process of a courier. Ballots are ordered by round, then courier; the life (a random number of the
- * process) tells a courier's processes apart and does not take part in the order.
+ * A ballot of one process of a courier. Ballots are ordered by round, then courier. {@code life} is a random number of
+ * the process; it distinguishes a courier's processes and is not part of the order.
  */
 record Ballot(int courier, int life, long round) {
-    /** Bits of a courier's number in a token (a tier has at most 65,535). */
+    /** Bits of a courier's number in a token (a tier has at most 65,535 couriers). */
     private static final int COURIER_BITS = 16;
-    /** The largest round whose token is a positive long: 2,200 years of milliseconds. */
+    /** The highest round whose token is a positive long: 2,200 years of milliseconds. */
     static final long MOST_ROUND = (1L << 46) - 1;
-    /** 2026-01-01T00:00:00Z in Unix ms: rounds that began in 1970 would take two bytes more in each datagram. */
+    /** 2026-01-01T00:00:00Z in Unix ms. Rounds counted from 1970 would take two more bytes in each datagram. */
     private static final long ROUNDS_FROM_MS = 1_767_225_600_000L;
-    /** How far a round may be ahead of the wall clock, ms (398 days): no lie can use the rounds up. */
+    /**
+     * Maximum distance of a round ahead of the wall clock, ms (398 days), so that a false round cannot use up the
+     * range.
+     */
     private static final long MOST_AHEAD_MS = 1L << 35;
 
-    /** The fencing token that a holding by this ballot has. */
+    /** The fencing token of a holder with this ballot. */
     long token() {
         return round << COURIER_BITS | courier;
     }
@@ -24,17 +27,17 @@
         return token >>> COURIER_BITS;
     }
 
-    /** The least round that is used at that wall-clock time (Unix ms): a later process uses a higher one. */
+    /** The lowest round that is used at that Unix time (ms), so that a later process uses a higher one. */
     static long roundAt(final long wallMs) {
         return Math.min(MOST_ROUND, Math.max(0, wallMs - ROUNDS_FROM_MS));
     }
 
-    /** True for a round that an honest courier may use at that wall-clock time (Unix ms). */
+    /** True if a correct courier may use that round at that Unix time (ms). */
     static boolean plausible(final long round, final long wallMs) {
         return round > 0 && round <= Math.min(MOST_ROUND, roundAt(wallMs) + MOST_AHEAD_MS);
     }
 
-    /** True if one process of one courier made both. */
+    /** True if both ballots are of the same process. */
     boolean sameProcess(final Ballot other) {
         return courier == other.courier && life == other.life;
     }
--- a/src/main/java/driftchute/fleet/lease/Holding.java
+++ b/src/main/java/driftchute/fleet/lease/Holding.java
@@ -1,9 +1,9 @@
 package driftchute.fleet.lease;
 
 /**
- * Who holds a duty.
+ * The holder of a role.
  *
  * @param courier its number in the tier
- * @param token fencing token, larger with every holder and every new acquisition
+ * @param token fencing token, which grows with every acquisition
  */
 public record Holding(int courier, long token) {}
--- a/src/main/java/driftchute/fleet/lease/Leases.java
+++ b/src/main/java/driftchute/fleet/lease/Leases.java
@@ -15,15 +15,15 @@
 import java.util.SplittableRandom;
 
 /**
- * The duties that one courier of the tier holds at a time, by leases of a majority (docs/fleet-leases.md). Two couriers
- * never hold a duty at one time, whatever is lost, late, doubled, paused or restarted, as long as monotonic clocks run
- * within the stated drift. A duty's number is its place in the list that the constructor is given. The host ticks after
- * each message, since one may make something due earlier.
+ * Roles that one courier of the tier holds at a time, by leases granted by a majority (docs/fleet-leases.md). No two
+ * couriers hold a role at the same time, whatever is lost, delayed, duplicated, suspended or restarted, as long as the
+ * monotonic clocks drift within the stated bound. A role's number is its index in the list passed to the constructor.
+ * The host calls tick after each message, because a message may make work due earlier.
  */
 public final class Leases implements Part {
     private static final long US_PER_MS = 1000;
 
-    /** This courier's two roles at one duty, and whom it last accepted there. */
+    /** This courier's acceptor and proposer of one role, and the token it last accepted there. */
     private static final class Desk {
         private final Acceptor acceptor;
         private final Proposer proposer;
@@ -47,15 +47,15 @@
     private long refusedActs;
 
     /**
-     * Starts to wait out one lease, after which this courier takes part.
+     * Starts by waiting for one lease time, after which this courier participates.
      *
-     * @param duties names of the duties, 1 to 128, the same at all couriers
-     * @param leaseUs how long a duty is held without renewal, us (20 ms to 1 h; parts of a ms are cut off); the same
-     *     at all couriers
-     * @param driftPpm how far a monotonic clock may run off true time, millionths (0 to 100,000)
-     * @param seed source of chance; another one for every process, or stray messages may be taken for this one's
-     * @param start now; where another process of this courier served before, not before it has stopped for good
-     * @throws IllegalArgumentException for a figure out of its bounds
+     * @param duties names of the roles, 1 to 128, the same at all couriers
+     * @param leaseUs duration of a lease without renewal, us (20 ms to 1 h, rounded down to ms); the same at all
+     * couriers
+     * @param driftPpm maximum drift of a monotonic clock from true time, parts per million (0 to 100,000)
+     * @param seed source of randomness; different for every process, or stray messages may be mistaken for its own
+     * @param start the present time, not before an earlier process of this courier has stopped
+     * @throws IllegalArgumentException for a value out of bounds
      */
     public Leases(
             final Tier tier,
@@ -68,7 +68,7 @@
         this(tier, duties, Terms.of(leaseUs, driftPpm), seed, start, events);
     }
 
-    /** With terms that may be wrong: a test shows that its checker notices. */
+    /** For tests with timings that violate the safety condition. */
     Leases(
             final Tier tier,
             final List<String> duties,
@@ -77,7 +77,7 @@
             final Moment start,
             final Events events) {
         if (duties.isEmpty() || duties.size() > Answer.MOST_DUTIES) {
-            throw new IllegalArgumentException("1 to " + Answer.MOST_DUTIES + " duties, not " + duties.size());
+            throw new IllegalArgumentException("1 to " + Answer.MOST_DUTIES + " roles are required, not " + duties.size());
         }
         final SplittableRandom random = new SplittableRandom(seed);
         this.tier = tier;
@@ -145,7 +145,7 @@
             return;
         }
         final boolean waits = now.monoUs() < fromUs;
-        // A renewal says that its sender holds, worth knowing early; a silent acceptor is in nobody's majority.
+        // A renewal shows early that its sender holds the role. An acceptor that does not answer is in no majority.
         if (waits && request.type() != Request.RENEW) {
             return;
         }
@@ -213,23 +213,23 @@
     }
 
     /**
-     * The token of this courier's holding of a duty at that moment; empty if it does not hold. To be asked anew, with a
-     * moment read just then, before each act under it.
+     * The token under which this courier holds a role at that time; empty if it does not. Must be called anew, with a
+     * fresh clock reading, before each action under the role.
      */
     public OptionalLong held(final Moment now, final int duty) {
         final long token = desks.get(duty).proposer.held(now);
         return token < 0 ? OptionalLong.empty() : OptionalLong.of(token);
     }
 
-    /** Who holds a duty, as this courier itself accepted it less than a lease ago; empty if it accepted nobody. */
+    /** The holder that this courier itself accepted less than a lease time ago; empty if there is none. */
     public Optional<Holding> holder(final Moment now, final int duty) {
         return Optional.ofNullable(desks.get(duty).acceptor.locked(now.monoUs()))
                 .map(ballot -> new Holding(ballot.courier(), ballot.token()));
     }
 
     /**
-     * True if an act under this token may count: this courier has accepted no higher one and held by none. Others are
-     * counted. It forgets what it accepted at a restart, and has heard of the holder again within half a lease.
+     * True if an action under this token is valid: this courier has neither accepted nor held a higher one. Invalid
+     * ones are counted. It forgets accepted tokens at a restart, and hears of the holder again within half a lease.
      */
     public boolean accepts(final int duty, final long token) {
         final boolean counts = token >= desks.get(duty).acceptor.fence();
@@ -237,22 +237,22 @@
         return counts;
     }
 
-    /** Gives a duty back; the others may take it at once, this courier again in two leases. */
+    /** Gives up a role. Others may take it at once, this courier only after two lease times. */
     public void release(final Moment now, final int duty, final Outbox out) {
         desks.get(duty).proposer.release(now, false, out);
     }
 
-    /** Gives all duties back for good: this process is about to end. It still answers as an acceptor. */
+    /** Gives up all roles for good, because this process is about to end. It still replies as an acceptor. */
     public void release(final Moment now, final Outbox out) {
         desks.forEach(desk -> desk.proposer.release(now, true, out));
     }
 
-    /** Acts under an old token that {@link #accepts} refused. */
+    /** Number of actions under an old token that {@link #accepts} refused. */
     public long refusedActs() {
         return refusedActs;
     }
 
-    /** Messages that meant nothing: an unknown duty, another process's answer, an absurd round, too long a lease. */
+    /** Number of ignored messages: unknown role, reply to another process, implausible round or too long a lease. */
     public long ignored() {
         return ignored;
     }
--- a/src/main/java/driftchute/fleet/lease/Poll.java
+++ b/src/main/java/driftchute/fleet/lease/Poll.java
@@ -5,9 +5,12 @@
 import java.util.Arrays;
 import java.util.BitSet;
 
-/** One question to all acceptors, asked again of those that stay silent, and what they answered. */
+/** A request to all acceptors, repeated to those that have not replied, and their replies. */
 final class Poll {
-    /** Sendings after which a question that a majority has agreed to is left: the rest may be dead, and costs bytes. */
+    /**
+     * Number of sendings after which a request that a majority has accepted is not repeated: the remaining acceptors
+     * may be dead.
+     */
     private static final int ENOUGH = 3;
 
     private static final long US_PER_MS = 1000;
@@ -31,7 +34,7 @@
         this.lockedUs = new long[seat.tier().size()];
     }
 
-    /** Asks whoever has not answered, if it is time. */
+    /** Sends the request to those that have not replied, if it is due. */
     void tick(final Moment now, final Outbox out) {
         if (now.monoUs() < nextUs) {
             return;
@@ -49,7 +52,7 @@
         nextUs = now.monoUs() + seat.terms().againUs();
     }
 
-    /** True if that courier's answer to it came for the first time. */
+    /** True if this is the first reply of that courier. */
     boolean agree(final int from) {
         final boolean first = !agreed.get(from) && !refused.get(from);
         if (first) {
@@ -58,7 +61,7 @@
         return first;
     }
 
-    /** True if that courier's refusal came for the first time. A lock longer than a lease is a lie. */
+    /** True if this is the first reply of that courier. A reported lock that is longer than a lease is capped. */
     boolean refuse(final int from, final long lockedMs) {
         final boolean first = !agreed.get(from) && !refused.get(from);
         if (first) {
@@ -77,14 +80,14 @@
         return lockedUs.length - refused.cardinality() < seat.tier().majority();
     }
 
-    /** How long, from the answers, until a majority is not locked by another, us; 0 if that may be now. */
+    /** Time until a majority is not locked by others, according to the replies, us; 0 if that may be now. */
     long majorityLockedUs() {
         final long[] sorted = lockedUs.clone();
         Arrays.sort(sorted);
         return sorted[seat.tier().majority() - 1];
     }
 
-    /** True if a yes of that type is one to it. */
+    /** True if that positive reply belongs to this request. */
     boolean takes(final Answer answer) {
         return request.serial() == answer.serial() && prepares() == (answer.type() == Answer.OPEN);
     }
@@ -101,12 +104,12 @@
         return ballot;
     }
 
-    /** When it was first asked. */
+    /** When it was first sent. */
     long sinceUs() {
         return sinceUs;
     }
 
-    /** When it asks again. */
+    /** When it is sent again. */
     long nextUs() {
         return nextUs;
     }
--- a/src/main/java/driftchute/fleet/lease/Proposer.java
+++ b/src/main/java/driftchute/fleet/lease/Proposer.java
@@ -7,15 +7,18 @@
 import java.util.function.LongSupplier;
 
 /**
- * A proposer of one duty: wins it by a majority, renews it, stops in time (PaxosLease; docs/fleet-leases.md). It counts
- * each lease from before it first sent what the majority accepted.
+ * The proposer of one role: acquires it from a majority, renews it, and stops in time (PaxosLease;
+ * docs/fleet-leases.md). It counts each lease from before it first sent the request that the majority accepted.
  */
 final class Proposer {
-    /** A renewal that was sent less often failed because this process did not run, not because nobody answered. */
+    /** If a failed renewal was sent fewer times than this, the process did not run; otherwise no majority answered. */
     private static final int HEARD_NOBODY = 2;
-    /** Sendings of a release, which nobody answers; at a loss of a fifth the third reaches 99 in 100. */
+    /**
+     * Number of times a release is sent, since nobody replies to it. With a loss rate of a fifth, three reach 99 in
+     * 100.
+     */
     private static final int FAREWELLS = 3;
-    /** Doublings of the wait after failed attempts: from a sixteenth of a lease to a whole one. */
+    /** Maximum number of doublings of the delay after failed attempts, from a sixteenth of a lease to a whole one. */
     private static final int MOST_DOUBLINGS = 4;
 
     private final Seat seat;
@@ -28,11 +31,11 @@
     private long attemptEndUs;
     private Poll renewal;
     private long renewAtUs;
-    /** What it holds by, or null. */
+    /** The ballot under which it holds the role, or null. */
     private Ballot holding;
 
     private long heldUntilUs;
-    /** A higher token than its own stands in the way of its renewals somewhere. */
+    /** An acceptor refused a renewal because of a higher token. */
     private boolean outbid;
     /** The highest ballot that this process has used, or null. */
     private Ballot last;
@@ -61,7 +64,7 @@
         this.tryAtUs = fromUs + seat.delayUs(random);
     }
 
-    /** Does what is due; returns when something is due next, monotonic us. */
+    /** Performs the work that is due; returns when the next is due, monotonic us. */
     long tick(final Moment now, final Outbox out) {
         expire(now);
         if (farewellsLeft > 0 && now.monoUs() >= farewellAtUs) {
@@ -93,7 +96,10 @@
         return next;
     }
 
-    /** When it may make an attempt: never while it knows that another holds, or while it holds undisputed. */
+    /**
+     * When it may attempt to acquire the role: never while another is known to hold it, or while it holds it
+     * undisputed.
+     */
     private long triesAtUs(final Moment now) {
         if (leaving || holding != null && !outbid) {
             return Long.MAX_VALUE;
@@ -137,7 +143,7 @@
                 seat.terms().leaseMs());
     }
 
-    /** An acceptor has said yes. */
+    /** Handles a positive reply of an acceptor. */
     void agreed(final Moment now, final int from, final Answer answer, final Outbox out) {
         expire(now);
         if (attempt != null
@@ -168,7 +174,7 @@
         renewal.tick(now, out);
     }
 
-    /** An acceptor has said no. */
+    /** Handles a refusal of an acceptor. */
     void refused(final Moment now, final int from, final Refusal refusal, final Outbox out) {
         expire(now);
         heard(now, Ballot.roundOf(refusal.token()));
@@ -179,14 +185,14 @@
         }
     }
 
-    /** A round that somebody uses; later ones of this courier are higher. Absurd ones are not believed. */
+    /** A round used by some courier; later rounds of this courier are higher. Implausible rounds are ignored. */
     void heard(final Moment now, final long round) {
         if (Ballot.plausible(round, now.wallMs())) {
             highestRound = Math.max(highestRound, round);
         }
     }
 
-    /** This courier's acceptor is locked by another courier for a lease from now. */
+    /** This courier's acceptor was locked by another courier for a lease time from now. */
     void stepBack(final Moment now, final Outbox out) {
         failures = 0;
         if (attempt != null && holding == null) {
@@ -195,7 +201,7 @@
         tryAtUs = now.monoUs() + seat.terms().leaseUs() + seat.delayUs(random);
     }
 
-    /** This courier's acceptor has promised itself to another courier, which may have its attempt first. */
+    /** This courier's acceptor has promised another courier, whose attempt goes first. */
     void giveWay(final Moment now) {
         tryAtUs = Math.max(
                 tryAtUs,
@@ -204,7 +210,7 @@
                         + random.nextLong(seat.terms().stepUs()));
     }
 
-    /** The holder has told that it is one no longer. */
+    /** The holder has released the role. */
     void freed(final Moment now) {
         tryAtUs = now.monoUs() + seat.delayUs(random);
     }
@@ -217,7 +223,7 @@
         tryAtUs = now.monoUs() + (lockedUs > 0 ? lockedUs + seat.delayUs(random) : base / 2 + random.nextLong(base));
     }
 
-    /** Ends an attempt, and the locks that it may have left, unless this process holds by some of them. */
+    /** Ends an attempt, and releases locks it may have caused, unless this process holds the role by some of them. */
     private void drop(final Moment now, final Outbox out) {
         if (!attempt.prepares() && holding == null) {
             part(now, 1, out);
@@ -240,7 +246,7 @@
         farewellAtUs = now.monoUs() + seat.terms().againUs();
     }
 
-    /** Notices that its time has run out. */
+    /** Gives up the role when its lease has expired. */
     private void expire(final Moment now) {
         if (holding != null && now.monoUs() >= heldUntilUs) {
             final boolean asked = renewal != null && renewal.sendings() >= HEARD_NOBODY;
@@ -252,7 +258,10 @@
         }
     }
 
-    /** Gives the duty back, or up trying; the others may take it at once, this one in two leases or never again. */
+    /**
+     * Releases the role, or stops trying. Others may take it at once, this courier after two lease times or never
+     * again.
+     */
     void release(final Moment now, final boolean forEver, final Outbox out) {
         expire(now);
         leaving |= forEver;
@@ -270,7 +279,7 @@
         }
     }
 
-    /** The token that it holds by at that moment, or -1. */
+    /** The token under which it holds the role at that time, or -1. */
     long held(final Moment now) {
         return holding != null && now.monoUs() < heldUntilUs ? holding.token() : -1;
     }
--- a/src/main/java/driftchute/fleet/lease/Refusal.java
+++ b/src/main/java/driftchute/fleet/lease/Refusal.java
@@ -6,13 +6,13 @@
 import java.nio.ByteBuffer;
 
 /**
- * An acceptor's no to one question.
+ * A negative reply of an acceptor.
  *
- * @param duty the duty's number
+ * @param duty the role's number
  * @param life the process that asked
- * @param serial number of its question
- * @param token the highest token that stands in the way, 0 if none
- * @param lockedMs how long the acceptor is locked by another, ms; 0 if it is not
+ * @param serial number of its request
+ * @param token the highest token that prevents it, 0 if none
+ * @param lockedMs how long the acceptor is still locked by another process, ms; 0 if it is not
  */
 record Refusal(int duty, int life, long serial, long token, long lockedMs) implements Message {
     static final int REFUSED = 0x26;
--- a/src/main/java/driftchute/fleet/lease/Request.java
+++ b/src/main/java/driftchute/fleet/lease/Request.java
@@ -6,23 +6,23 @@
 import java.nio.ByteBuffer;
 
 /**
- * What a proposer asks of, or tells, an acceptor about one duty. The ballot's courier is the sender.
+ * A request or notification from a proposer to an acceptor about one role. The ballot's courier is the sender.
  *
  * @param type one of the constants
- * @param duty the duty's number
+ * @param duty the role's number
  * @param life the sender's process
- * @param serial number of the question in that process; repeats of it have the same
+ * @param serial number of the request in that process; repetitions have the same
  * @param round the ballot's round
- * @param leaseMs the sender's lease, ms
+ * @param leaseMs the sender's lease time, ms
  */
 record Request(int type, int duty, int life, long serial, long round, long leaseMs) implements Message {
-    /** Asks whether the acceptor is open to a ballot, and for its promise. */
+    /** Asks for a promise to accept a ballot. */
     static final int PREPARE = 0x20;
     /** Proposes the sender as holder. */
     static final int PROPOSE = 0x21;
-    /** Proposes a holder again. */
+    /** Renews the sender's lease. */
     static final int RENEW = 0x22;
-    /** Tells that the sender does not hold by this ballot or any before. */
+    /** Announces that the sender does not hold the role by this ballot or an earlier one. */
     static final int RELEASE = 0x23;
 
     @Override
--- a/src/main/java/driftchute/fleet/lease/Seat.java
+++ b/src/main/java/driftchute/fleet/lease/Seat.java
@@ -4,17 +4,17 @@
 import java.util.SplittableRandom;
 
 /**
- * This process's place at one duty.
+ * This process as a candidate for one role.
  *
- * @param number the duty's number
- * @param duty the duty's name
- * @param rank its courier's place among all for this duty, 0 the first to try
+ * @param number the role's number
+ * @param duty the role's name
+ * @param rank its courier's rank among all for this role; 0 tries first
  * @param life random number of this process
  */
 record Seat(Tier tier, Terms terms, int number, String duty, int rank, int life) {
-    /** Ranks that each have a moment of their own; all behind try at random moments after them. */
+    /** Ranks with separate time slots. Higher ranks try at random times after them. */
     private static final int OWN_MOMENT = 16;
-    /** Those behind spread over this part of a lease. */
+    /** Higher ranks spread over a lease time divided by this. */
     private static final int REST_PART = 4;
 
     static Seat at(final Tier tier, final Terms terms, final int number, final String duty, final int life) {
@@ -37,7 +37,10 @@
         return mixed ^ mixed >>> 31;
     }
 
-    /** How long after a duty may have become free this courier tries, us: it grows with the rank, in part by chance. */
+    /**
+     * Delay of this courier's attempt after the role may have become free, us. It grows with the rank and is partly
+     * random.
+     */
     long delayUs(final SplittableRandom random) {
         if (tier.size() == 1) {
             return 0;
--- a/src/main/java/driftchute/fleet/membership/Claim.java
+++ b/src/main/java/driftchute/fleet/membership/Claim.java
@@ -4,11 +4,11 @@
 import driftchute.fleet.Varint;
 import java.nio.ByteBuffer;
 
-/** What is said of a courier: a state of one of its incarnations. Later incarnations outrank earlier ones. */
+/** A claim about a courier: the state of one of its incarnations. Later incarnations outrank earlier ones. */
 record Claim(State state, long incarnation) implements Comparable<Claim> {
-    /** More is refused: an honest incarnation rises by one a start or refutation. */
+    /** Higher incarnations are refused. A real one grows by one per start or refutation. */
     static final long MOST_INCARNATION = 1L << 48;
-    /** Said of a courier that nobody has heard of. */
+    /** The claim about a courier that nobody has heard of. */
     static final Claim NOTHING = new Claim(State.UNKNOWN, 0);
 
     private static final int STATE_BITS = 3;
@@ -20,18 +20,22 @@
         return order != 0 ? order : state.compareTo(other.state);
     }
 
-    /** As one number of 0 or more. */
+    /** Encodes the claim as one non-negative number. */
     long packed() {
         return incarnation << STATE_BITS | state.ordinal();
     }
 
-    /** @throws MalformedMessageException for no state, or an incarnation that no courier of that state can have */
+    /**
+     * Reads a claim.
+     *
+     * @throws MalformedMessageException for an unknown state, or an incarnation that is impossible in that state
+     */
     static Claim get(final ByteBuffer from) throws MalformedMessageException {
         final long packed = Varint.get(from);
         final int state = (int) (packed & (1 << STATE_BITS) - 1);
         final long incarnation = packed >>> STATE_BITS;
         if (state >= STATES.length || incarnation > MOST_INCARNATION || state == 0 != (incarnation == 0)) {
-            throw new MalformedMessageException("no state " + state + " of an incarnation " + incarnation);
+            throw new MalformedMessageException("invalid state " + state + " of an incarnation " + incarnation);
         }
         return state == 0 ? NOTHING : new Claim(STATES[state], incarnation);
     }
--- a/src/main/java/driftchute/fleet/membership/LocalHealth.java
+++ b/src/main/java/driftchute/fleet/membership/LocalHealth.java
@@ -1,8 +1,11 @@
 package driftchute.fleet.membership;
 
-/** How much a courier doubts itself (Lifeguard's local health multiplier): 0 is well. It stretches its own waiting. */
+/**
+ * Lifeguard's local health multiplier: how much a courier doubts its own health, 0 if it is healthy. It lengthens the
+ * courier's own time-outs.
+ */
 final class LocalHealth {
-    /** The paper's saturation: more would make a courier that was ill for long useless for long. */
+    /** The paper's saturation value. A higher one would make a courier useless for long after long trouble. */
     static final int MOST = 8;
 
     private int score;
@@ -19,7 +22,7 @@
         return score;
     }
 
-    /** A duration of a courier that is well, as this one should take it, us. */
+    /** A duration of a healthy courier, lengthened by the present score, us. */
     long scaled(final long us) {
         return us * (score + 1);
     }
--- a/src/main/java/driftchute/fleet/membership/Member.java
+++ b/src/main/java/driftchute/fleet/membership/Member.java
@@ -1,16 +1,16 @@
 package driftchute.fleet.membership;
 
-/** What this courier holds about one courier of the tier, itself included. */
+/** What this courier knows about one courier of the tier, itself included. */
 final class Member {
     final int id;
     Claim claim = Claim.NOTHING;
-    /** Who said so last. */
+    /** The courier that made the present claim. */
     int by;
-    /** The incarnation that it said last itself; below 0 where it never spoke. */
+    /** The incarnation that it last reported itself; negative if it never did. */
     long heard = -1;
-    /** How often the claim was sent since it changed. */
+    /** Number of times the claim was sent since it changed. */
     int sent;
-    /** While it is suspect, else null. */
+    /** The suspicion while it is suspect, else null. */
     Suspicion suspicion;
 
     Member(final int id) {
--- a/src/main/java/driftchute/fleet/membership/Members.java
+++ b/src/main/java/driftchute/fleet/membership/Members.java
@@ -13,13 +13,13 @@
 import java.util.stream.Stream;
 
 /**
- * What this courier holds about each courier of the tier, by which words it changes, and what is still to be spread
- * (docs/fleet-membership.md, Lies: what weighs more than what).
+ * What this courier knows about each courier of the tier, how claims change it, and what has still to be gossiped
+ * (docs/fleet-membership.md, Lies: the precedence of claims).
  */
 final class Members {
-    /** How far a word about another, or about oneself, may be above what was heard first hand. */
+    /** Maximum distance of a claimed incarnation above the one heard first hand. */
     static final long MOST_JUMP = 1L << 20;
-    /** Bytes of type and length before a message's body in a datagram. */
+    /** Size of the type and length before a message's body, bytes. */
     private static final int PREFIX = 2;
 
     private final Tier tier;
@@ -43,7 +43,7 @@
             final Events events,
             final LongConsumer keep) {
         if (incarnation < 1 || incarnation >= Claim.MOST_INCARNATION) {
-            throw new IllegalArgumentException("no courier can start as incarnation " + incarnation);
+            throw new IllegalArgumentException("invalid initial incarnation " + incarnation);
         }
         this.tier = tier;
         this.timing = timing;
@@ -83,22 +83,22 @@
         return self.claim.state() == State.LEFT;
     }
 
-    /** Words that were refused as absurd. */
+    /** Number of claims refused as implausible. */
     long refused() {
         return refused;
     }
 
-    /** Those that are suspect now, in the order in which they became so; the list is the caller's. */
+    /** A copy of the present suspects, in the order in which they became suspect. */
     List<Member> suspects() {
         return List.copyOf(suspects);
     }
 
-    /** The other couriers that pass. */
+    /** The other couriers that match. */
     Stream<Member> others(final Predicate<Member> test) {
         return members.stream().filter(member -> member != self && test.test(member));
     }
 
-    /** A courier itself says of which incarnation it is. */
+    /** Handles a courier's own incarnation number, received from itself. */
     void spoken(final int id, final long incarnation) {
         final Member member = members.get(id);
         final Claim alive = new Claim(State.ALIVE, incarnation);
@@ -115,10 +115,10 @@
     }
 
     /**
-     * A courier says something about a courier.
+     * Handles a claim about a courier.
      *
-     * @param by on whose word it says so
-     * @return whether what is held here is newer, so that the one who said it should be told
+     * @param by the courier that made the claim
+     * @return whether this courier knows something newer that the sender should be told
      */
     boolean told(final long nowUs, final int id, final Claim claim, final int by) {
         final Member member = members.get(id);
@@ -169,7 +169,7 @@
                 "self_refuted", "incarnation", raised, "held", claim.state().name(), "by", by);
     }
 
-    /** A probe of this courier's was not answered. */
+    /** A probe by this courier was not answered. */
     void accuse(final long nowUs, final int id) {
         final Member member = members.get(id);
         if (!member.isPresent()) {
@@ -183,7 +183,7 @@
         member.suspicion.askAt(nowUs);
     }
 
-    /** Whether this courier itself accuses that suspect. */
+    /** True if this courier itself accuses that suspect. */
     boolean accuses(final Member suspect) {
         return suspect.suspicion.isAccuser(self.id);
     }
@@ -204,7 +204,7 @@
         }
     }
 
-    /** Those whose time to refute is over are dead. */
+    /** Declares the suspects dead whose time to refute has passed. */
     void bury(final long nowUs) {
         for (final Member member : suspects()) {
             if (member.suspicion.deadlineUs() <= nowUs) {
@@ -213,12 +213,12 @@
         }
     }
 
-    /** This process stood still: nobody's time to refute counts so far. */
+    /** This process was suspended, so no suspect's time to refute counts up to now. */
     void doubt(final long nowUs) {
         suspects.forEach(member -> member.suspicion.restart(nowUs));
     }
 
-    /** When {@link #bury} or a question to a suspect is due, monotonic us. */
+    /** When {@link #bury} or a probe of a suspect is due, monotonic us. */
     long dueUs() {
         long due = Long.MAX_VALUE;
         for (final Member member : suspects) {
@@ -227,7 +227,10 @@
         return due;
     }
 
-    /** This courier leaves: what it has to tell for it. The one who asks sends it, and it does not ride as well. */
+    /**
+     * Marks this courier as leaving and returns the message about it. The caller sends it, so it is not gossiped as
+     * well.
+     */
     Messages.Rumour leave() {
         changed(self, new Claim(State.LEFT, incarnation()), self.id);
         spreading.remove(self);
@@ -241,7 +244,7 @@
         member.suspicion = null;
         suspects.remove(member);
         spread(member);
-        // Who was not present before does not go: a courier that starts reports no deaths of long ago.
+        // Only members that were present can leave or die: a courier that starts reports no old deaths.
         final boolean news =
                 claim.state() != before && (before.isPresent() || claim.state().isPresent());
         if (news && member != self) {
@@ -267,7 +270,7 @@
         return !spreading.isEmpty();
     }
 
-    /** What is to be spread and fits into that many bytes, the least sent first. */
+    /** The gossip that fits into that many bytes, the least often sent first. */
     List<Message> rumours(final int peer, final int room) {
         final List<Message> rumours = new ArrayList<>();
         if (!isPresent(peer)) {
@@ -279,7 +282,7 @@
             final Messages.Rumour rumour = member.rumour();
             final int size = PREFIX + rumour.size();
             if (member.id == peer) {
-                // Pings and acks tell it so already; it counts, since the two may be alone.
+                // Pings and acks already tell the peer about itself. It counts as sent, since the two may be alone.
                 member.sent++;
             } else if (size <= left) {
                 rumours.add(rumour);
--- a/src/main/java/driftchute/fleet/membership/Membership.java
+++ b/src/main/java/driftchute/fleet/membership/Membership.java
@@ -17,13 +17,13 @@
 import java.util.function.LongConsumer;
 
 /**
- * Who of the tier is present: SWIM (Das, Gupta, Motivala, DSN 2002) with Lifeguard (Dadgar, Phillips, Currey, DSN-W
- * 2018), as docs/fleet-membership.md has it. A hint for those who share out work: nothing that must be safe may rest on
- * it. A word out of bounds is refused and counted, never an error.
+ * Membership of the tier: SWIM (Das, Gupta, Motivala, DSN 2002) with Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018),
+ * as described in docs/fleet-membership.md. It is a hint for distributing work; nothing safety-critical may depend on
+ * it. Implausible claims are refused and counted.
  */
 public final class Membership implements Part, Rider {
     private static final long MOST_PERIOD_US = 3_600_000_000L;
-    /** A piece of the table: leaves room in the datagram for what else goes to that courier. */
+    /** Size of a table segment, bytes. It leaves space in the datagram for other messages to that courier. */
     private static final int ROLL_BYTES = 160;
 
     private static final int US_PER_MS = 1000;
@@ -44,15 +44,16 @@
     private long promisedUs;
 
     /**
-     * A courier that starts, and knows nobody yet.
+     * Creates the membership of a courier that starts and knows no other.
      *
-     * @param periodUs from one probe to the next, us; at least 1,000
-     * @param seed the only chance in it
-     * @param incarnation one more than the last that was kept; 1 where none was
-     * @param start now; nothing may be asked of it at an earlier moment
-     * @param incarnationToKeep is called with each new incarnation before a message says it, also with the first; what
-     *         it throws is let through, and the incarnation is not taken
-     * @throws IllegalArgumentException for an incarnation below 1 or from 2^48 on, or a period out of its bounds
+     * @param periodUs interval between probes, us; at least 1,000
+     * @param seed the only source of randomness
+     * @param incarnation one more than the last stored incarnation; 1 if there is none
+     * @param start the present time; later calls must not use an earlier one
+     * @param incarnationToKeep called with each new incarnation, including the first, before any message contains it.
+     * If it
+     *     throws, the exception is passed on and the incarnation is not used
+     * @throws IllegalArgumentException for an incarnation below 1 or from 2^48 on, or a period out of bounds
      */
     public Membership(
             final Tier tier,
@@ -63,7 +64,7 @@
             final Events events,
             final LongConsumer incarnationToKeep) {
         if (periodUs < US_PER_MS || periodUs > MOST_PERIOD_US) {
-            throw new IllegalArgumentException("a probe period of " + periodUs + " us");
+            throw new IllegalArgumentException("the probe period is out of bounds: " + periodUs + " us");
         }
         final Random random = new Random(seed);
         this.tier = tier;
@@ -78,7 +79,7 @@
         promisedUs = start.monoUs();
     }
 
-    /** Those that are present as far as this courier knows, itself included unless it has left. */
+    /** The couriers that are present as far as this courier knows, itself included unless it has left. */
     public Set<Integer> present() {
         final Set<Integer> present = new TreeSet<>();
         for (int id = 0; id < tier.size(); id++) {
@@ -89,12 +90,12 @@
         return present;
     }
 
-    /** Whether that courier of the tier is present as far as this one knows. */
+    /** Whether that courier is present as far as this one knows. */
     public boolean isPresent(final int id) {
         return members.isPresent(id);
     }
 
-    /** What that courier of the tier is held to be. */
+    /** The state of that courier as far as this one knows. */
     public State state(final int id) {
         return members.claim(id).state();
     }
@@ -104,17 +105,17 @@
         return members.incarnation();
     }
 
-    /** How much this courier doubts itself, 0 (well) to 8. */
+    /** The local health score, 0 (healthy) to 8. */
     public int localHealth() {
         return health.score();
     }
 
-    /** Words about a courier that were refused as absurd, since the start. */
+    /** Number of claims refused as implausible since the start. */
     public long refused() {
         return members.refused();
     }
 
-    /** Tells several couriers at once that this one leaves; from then on it probes nobody and accuses nobody. */
+    /** Tells several couriers at once that this one leaves. From then on it neither probes nor accuses. */
     public void leave(final Moment now, final Outbox out) {
         if (!members.hasLeft()) {
             final Messages.Rumour left = members.leave();
@@ -182,7 +183,7 @@
         for (int i = 0; i < roll.claims().size(); i++) {
             final int id = roll.first() + i;
             final Claim claim = roll.claims().get(i);
-            // What is no news is not told as one more accusation: the roll does not say whose it is.
+            // A known claim is not treated as another accusation, because the table does not say who made it.
             if (claim.compareTo(members.claim(id)) > 0 && id != from) {
                 members.told(nowUs, id, claim, from);
             }
@@ -234,7 +235,7 @@
         }
     }
 
-    /** A call that comes so late shows that this process stood still: it doubts itself before it doubts others. */
+    /** A late call shows that this process was suspended: it doubts its own health before that of others. */
     private void doubtAfterPause(final long nowUs) {
         if (nowUs - promisedUs > timing.periodUs()) {
             events.event("self_paused", "late_ms", (nowUs - promisedUs) / US_PER_MS);
--- a/src/main/java/driftchute/fleet/membership/Messages.java
+++ b/src/main/java/driftchute/fleet/membership/Messages.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.stream.LongStream;
 
-/** What membership says: types 0x10 to 0x18. */
+/** The messages of membership: types 0x10 to 0x18. */
 final class Messages {
-    /** Sequence numbers go round after this: three bytes, and longer than any datagram is under way. */
+    /** Sequence numbers wrap around after this: three bytes, and more than can be in transit. */
     static final int MOST_SEQUENCE = (1 << 21) - 1;
 
     private static final int PING = 0x10;
@@ -27,7 +27,7 @@
 
     private Messages() {}
 
-    /** A message that is a row of numbers of 0 or more. */
+    /** A message that is a list of non-negative numbers. */
     private interface Row extends Message {
         long[] row();
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Are you there? I am of this incarnation, and this is what I hold about you. */
+    /** Probes a courier. Contains the sender's incarnation and its claim about the receiver. */
     record Ping(int sequence, long incarnation, Claim notice) implements Row {
         @Override
         public int type() {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** I am here: the answer to the ping of that number. */
+    /** The answer to the ping with that sequence number. */
     record Ack(int sequence, long incarnation, Claim notice) implements Row {
         @Override
         public int type() {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Ping this courier for me, and answer under this number. */
+    /** Asks a courier to probe another one, and to answer with this sequence number. */
     record PingRequest(int sequence, int target) implements Row {
         @Override
         public int type() {
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Whom I pinged for you has answered, and is of this incarnation. */
+    /** The target of an indirect probe has answered, with this incarnation. */
     record Relayed(int sequence, long incarnation) implements Row {
         @Override
         public int type() {
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Whom I pinged for you has not answered so far; you hear me, and I heard you. */
+    /** The target of an indirect probe has not answered so far. It shows that sender and receiver can communicate. */
     record Nack(int sequence) implements Row {
         @Override
         public int type() {
@@ -113,7 +113,7 @@
         }
     }
 
-    /** This is held about that courier, on that courier's word. */
+    /** A claim about a courier and who made it. */
     record Rumour(int member, Claim claim, int by) implements Row {
         @Override
         public int type() {
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Nothing but a reason for a datagram on which rumours ride. */
+    /** An empty message, sent so that a datagram carries gossip. */
     record Carrier() implements Row {
         @Override
         public int type() {
@@ -139,7 +139,7 @@
         }
     }
 
-    /** What do you hold about the couriers from this one on? */
+    /** Asks for the receiver's claims about the couriers from this number on. */
     record Ask(int first) implements Row {
         @Override
         public int type() {
@@ -152,7 +152,7 @@
         }
     }
 
-    /** What I hold about the couriers from this one on. */
+    /** The sender's claims about the couriers from this number on. */
     record Roll(int first, List<Claim> claims) implements Row {
         @Override
         public int type() {
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Readers for a tier of so many couriers; a number beyond is malformed, as is an accusation of oneself. */
+    /** Parsers for a tier of this size. Higher courier numbers and accusations of oneself are malformed. */
     static Map<Integer, Message.Reader> readers(final int size) {
         final Map<Integer, Message.Reader> readers = new HashMap<>();
         readers.put(PING, body -> new Ping(sequence(body), incarnation(body), Claim.get(body)));
@@ -186,7 +186,7 @@
         final State state = rumour.claim().state();
         final boolean accuses = state == State.SUSPECT || state == State.DEAD;
         if (state == State.UNKNOWN || accuses && rumour.by() == rumour.member()) {
-            throw new MalformedMessageException("nobody can say this: " + rumour);
+            throw new MalformedMessageException("impossible claim: " + rumour);
         }
         return rumour;
     }
@@ -198,7 +198,7 @@
             claims.add(Claim.get(body));
         }
         if (first + claims.size() > size) {
-            throw new MalformedMessageException("a roll to courier " + (first + claims.size()) + " of " + size);
+            throw new MalformedMessageException("a table segment up to courier " + (first + claims.size()) + " of " + size);
         }
         return new Roll(first, claims);
     }
@@ -219,7 +219,7 @@
             throws MalformedMessageException {
         final long number = Varint.get(body);
         if (number < least || number > most) {
-            throw new MalformedMessageException(number + " is not " + least + " to " + most);
+            throw new MalformedMessageException(number + " is not within " + least + " to " + most);
         }
         return number;
     }
--- a/src/main/java/driftchute/fleet/membership/Prober.java
+++ b/src/main/java/driftchute/fleet/membership/Prober.java
@@ -13,14 +13,14 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** Whom to ping, by whose help, and what follows from no answer (SWIM, section 3.1; Lifeguard, section IV). */
+/** Probes the other couriers, directly and through helpers (SWIM, section 3.1; Lifeguard, section IV). */
 final class Prober {
-    /** SWIM's k. */
+    /** Number of helpers of an indirect probe: SWIM's k. */
     private static final int HELPERS = 3;
-    /** Probes for others that are under way at once; one more is not made, and its asker is told nothing. */
+    /** Maximum number of indirect probes in progress for others. Further requests are ignored. */
     private static final int MOST_ERRANDS = 64;
 
-    /** A probe of this courier's own. */
+    /** A probe by this courier for itself. */
     private static final class Probe {
         private final int target;
         private final int sequence;
@@ -37,7 +37,7 @@
         }
     }
 
-    /** A ping for another courier, under its number. */
+    /** A ping sent on behalf of another courier. */
     private record Errand(int asker, int sequence, int target, long nackUs, boolean nacked) {}
 
     private final Timing timing;
@@ -62,11 +62,11 @@
         this.health = health;
         this.random = random;
         this.sequence = random.nextInt(Messages.MOST_SEQUENCE);
-        // Couriers that start at one moment do not probe at one moment.
+        // Couriers that start together must not probe together.
         this.nextUs = nowUs + (long) (random.nextDouble() * timing.periodUs());
     }
 
-    /** Does what is due. */
+    /** Performs the work that is due. */
     void tick(final long nowUs, final Outbox out) {
         runErrands(nowUs, out);
         if (probe != null && !probe.answered && !probe.asked && nowUs >= probe.askUs) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /** When {@link #tick} is due, monotonic us; questions to suspects are {@link Members#dueUs}. */
+    /** When {@link #tick} is due, monotonic us, except for probes of suspects ({@link Members#dueUs}). */
     long dueUs() {
         long due = nextUs;
         if (probe != null && !probe.answered && !probe.asked) {
@@ -96,19 +96,19 @@
         return due;
     }
 
-    /** This process stood still: what was under way says nothing about others. */
+    /** This process was suspended, so probes in progress say nothing about others. */
     void forget(final long nowUs) {
         probe = null;
         errands.clear();
         nextUs = nowUs;
     }
 
-    /** A ping of that courier under a number of its own, whose answer only counts as the courier's word. */
+    /** A ping with a new sequence number. Its answer counts only as the courier's own claim. */
     Messages.Ping ping(final int target) {
         return ping(nextSequence(), target);
     }
 
-    /** Some of the other couriers that pass, by chance; fewer than {@code most} where there are not so many. */
+    /** Up to {@code most} random other couriers that match. */
     List<Integer> some(final int most, final Predicate<Member> test) {
         final List<Integer> ids =
                 new ArrayList<>(members.others(test).map(member -> member.id).toList());
@@ -127,7 +127,7 @@
         });
     }
 
-    /** An answer that late may still serve an asker that doubts itself, whose probes last longer. */
+    /** A late answer may still help a requester with a poor local health score, whose probes last longer. */
     private long endUs(final Errand errand) {
         return errand.nackUs() + timing.periodUs();
     }
@@ -141,7 +141,7 @@
 
     private void conclude(final long nowUs) {
         if (probe != null && !probe.answered) {
-            // Helpers that all say "no answer" show that this courier hears and is heard.
+            // If all helpers answer with a nack, this courier can communicate, so its own health is not in doubt.
             if (probe.helpers.isEmpty() || probe.nacks.size() < probe.helpers.size()) {
                 health.worse();
             }
@@ -163,7 +163,7 @@
         nextUs = nowUs + health.scaled(timing.periodUs());
     }
 
-    /** The next in a shuffled round of all others that is present, or is not; below 0 where there is none. */
+    /** The next courier of a shuffled round that is present, or is not; negative if there is none. */
     private int next(final Deque<Integer> from, final boolean present) {
         for (int rounds = 0; rounds < 2; rounds++) {
             while (!from.isEmpty()) {
@@ -186,7 +186,7 @@
         return sequence;
     }
 
-    /** An ack has come from that courier: to an own probe, or to an errand. */
+    /** Handles an ack: for a probe of this courier, or for an indirect probe. */
     void acked(final int from, final Messages.Ack ack, final Outbox out) {
         if (probe != null && from == probe.target && ack.sequence() == probe.sequence) {
             answered();
@@ -205,7 +205,7 @@
         }
     }
 
-    /** A helper says that the target has answered it. */
+    /** Handles a helper's report that the target has answered. */
     void relayed(final long nowUs, final int from, final Messages.Relayed relayed) {
         if (probe != null && probe.helpers.contains(from) && relayed.sequence() == probe.sequence) {
             answered();
@@ -213,14 +213,14 @@
         }
     }
 
-    /** A helper says that the target has not answered it. */
+    /** Handles a helper's report that the target has not answered. */
     void nacked(final int from, final Messages.Nack nack) {
         if (probe != null && probe.helpers.contains(from) && nack.sequence() == probe.sequence) {
             probe.nacks.add(from);
         }
     }
 
-    /** A courier asks for a ping of another. */
+    /** Handles a request to probe another courier. */
     void asked(final long nowUs, final int from, final Messages.PingRequest request, final Outbox out) {
         if (request.target() != from && !members.isSelf(request.target()) && errands.size() < MOST_ERRANDS) {
             final Messages.Ping ping = ping(request.target());
--- a/src/main/java/driftchute/fleet/membership/State.java
+++ b/src/main/java/driftchute/fleet/membership/State.java
@@ -1,16 +1,19 @@
 package driftchute.fleet.membership;
 
-/** What a courier is held to be. At one incarnation the later of two outranks the earlier (SWIM, section 4.2). */
+/**
+ * The state of a courier. For the same incarnation a later constant outranks an earlier one (SWIM, section 4.2). Sent
+ * by ordinal and logged by name.
+ */
 public enum State {
     /** Nothing was heard of it. */
     UNKNOWN,
     /** It answers. */
     ALIVE,
-    /** It did not answer somebody; it counts as present until its time to refute is over. */
+    /** It did not answer somebody. It counts as present until its time to refute has passed. */
     SUSPECT,
-    /** It had its time and did not refute. */
+    /** It did not refute the suspicion in time. */
     DEAD,
-    /** It said that it leaves. */
+    /** It announced that it leaves. */
     LEFT;
 
     /** Whether it counts as present. */
--- a/src/main/java/driftchute/fleet/membership/Suspicion.java
+++ b/src/main/java/driftchute/fleet/membership/Suspicion.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** One suspicion: who accuses, and until when it may be refuted (Lifeguard's dynamic suspicion time-outs). */
+/** A suspicion: its accusers and its deadline for a refutation (Lifeguard's dynamic suspicion time-outs). */
 final class Suspicion {
     private final Timing timing;
     private final Set<Integer> accusers = new HashSet<>();
@@ -18,41 +18,41 @@
         accusers.add(by);
     }
 
-    /** Another accuser has spoken. Returns whether that was news and is worth passing on. */
+    /** Adds an accuser. Returns whether it is new and worth gossiping. */
     boolean confirm(final int by) {
         return accusers.size() <= timing.accusers() && accusers.add(by);
     }
 
-    /** Somebody holds the suspect dead: as good as all the accusers that are needed. */
+    /** Another courier considers the suspect dead: this counts like all the accusers that are needed. */
     void certain() {
         certain = true;
     }
 
-    /** Asks the suspect at that moment. */
+    /** Schedules a probe of the suspect. */
     void askAt(final long us) {
         askUs = us;
     }
 
     /**
-     * When this courier itself asks the suspect, monotonic us: at once and again where it accuses, and once half-way
-     * through the shortest suspicion where it only heard. So nobody is buried by one who has not asked it.
+     * When this courier probes the suspect itself, monotonic us: at once and repeatedly if it is an accuser, and once
+     * half-way through the shortest suspicion otherwise. So no courier declares another dead without having probed it.
      */
     long askUs() {
         return askUs;
     }
 
-    /** Whether that courier accuses. */
+    /** Whether that courier is an accuser. */
     boolean isAccuser(final int id) {
         return accusers.contains(id);
     }
 
-    /** No time before now counts as time to refute, and the suspect is asked anew. */
+    /** Restarts the time to refute and probes the suspect again. */
     void restart(final long nowUs) {
         sinceUs = nowUs;
         askUs = nowUs;
     }
 
-    /** When the suspect is dead unless it has refuted, monotonic us. */
+    /** When the suspect is declared dead unless it refutes, monotonic us. */
     long deadlineUs() {
         final int others = accusers.size() - 1;
         if (certain || others >= timing.accusers()) {
--- a/src/main/java/driftchute/fleet/membership/Timing.java
+++ b/src/main/java/driftchute/fleet/membership/Timing.java
@@ -1,17 +1,17 @@
 package driftchute.fleet.membership;
 
 /**
- * Figures that follow from the probe period and the size of the tier; durations in us.
+ * Durations and counts derived from the probe period and the size of the tier; durations in us.
  *
- * @param periodUs from one probe to the next
- * @param answerUs how long a ping's answer may take before others are asked to help, or told that none came
- * @param gossipUs between two carriers while something is to be spread, and between two raises of the own incarnation
- * @param tableUs between two questions for a piece of another's table
- * @param joinUs how long a courier that starts asks for the table each {@code gossipUs}, unless it has it before
- * @param leastUs the shortest suspicion: all the accusers that are needed have spoken
- * @param mostUs the longest suspicion: one accuser alone
- * @param accusers independent accusers beside the first that bring the longest to the shortest
- * @param sendings how often a courier sends one change at most
+ * @param periodUs interval between two probes
+ * @param answerUs time for the answer to a ping before helpers are asked, or a nack is sent
+ * @param gossipUs interval of datagrams sent for gossip alone, and between two increments of the own incarnation
+ * @param tableUs interval between two requests for a segment of another courier's table
+ * @param joinUs time for which a starting courier requests the table every {@code gossipUs}, unless it has it earlier
+ * @param leastUs shortest suspicion: all the accusers that are needed have confirmed it
+ * @param mostUs longest suspicion: a single accuser
+ * @param accusers number of independent accusers beside the first that shorten the longest suspicion to the shortest
+ * @param sendings maximum number of times that a courier sends one change
  */
 record Timing(
         long periodUs,
@@ -23,13 +23,15 @@
         long mostUs,
         int accusers,
         int sendings) {
-    /** Tenths of a period: pings there and back, then the helpers' pings there and back, fit into one with a rest. */
+    /**
+     * Tenths of a period, so that a direct round trip and the helpers' round trip fit into one period with time left.
+     */
     private static final int ANSWER_TENTHS = 4;
 
     private static final int GOSSIPS = 4;
     private static final int TABLE_PERIODS = 20;
     private static final int JOIN_PERIODS = 8;
-    /** Lifeguard's alpha: three tries to be told and to be heard. */
+    /** Lifeguard's alpha: three attempts to hear and be heard. */
     private static final int ALPHA = 3;
     /** Lifeguard's beta. */
     private static final int BETA = 4;
--- a/src/main/java/driftchute/node/fleet/FleetLink.java
+++ b/src/main/java/driftchute/node/fleet/FleetLink.java
@@ -37,19 +37,19 @@
 import java.util.function.Supplier;
 
 /**
- * The control thread: owns the shared state and the peers' socket. The traffic's event loop reads {@link #view()} (one
- * volatile reference) and hands reports to {@link #report}, which never blocks: beyond its bound a report is dropped and
- * counted.
+ * The control thread of the fleet: it owns the shared state and the peers' socket. The event loop of the traffic reads
+ * {@link #view()} (one volatile reference) and passes reports to {@link #report}, which never blocks: reports beyond
+ * its limit are dropped and counted.
  */
 public final class FleetLink {
     private static final int MOST_REPORTS = 1024;
-    /** One byte more than a courier may send, so that a longer datagram is seen to be longer. */
+    /** One byte more than the longest valid datagram, so that a longer one is detected. */
     private static final int READ_BYTES = 257;
-    /** How often the address is tried again while another process of this courier still holds it. */
+    /** Interval of attempts to bind the address while another process of this courier holds it. */
     private static final long BIND_AGAIN_MS = 20;
-    /** How often the log tells what was dropped, where something was. */
+    /** Interval of the log line about dropped datagrams and reports. */
     private static final long TELL_MS = 5_000;
-    /** The control thread looks again at least so often: reports come ten times a second. */
+    /** Maximum interval between two turns of the control thread. Reports come ten times a second. */
     private static final long TURN_US = 50_000;
 
     private static final long US_PER_MS = 1000;
@@ -71,7 +71,7 @@
     private SharedState state;
     private Channel channel;
     private boolean ended;
-    /** Datagrams from strangers, and what the log was last told of drops; only the control thread looks. */
+    /** Datagrams from unknown addresses, and the last logged drop counts. Control thread only. */
     private long strangers;
 
     private String told = "";
@@ -79,7 +79,7 @@
     /**
      * @param folder the state folder, for the incarnation
      * @param monoUs this process's monotonic clock, us; read on both threads
-     * @param changed told each new view, on the control thread
+     * @param changed receives each new view, on the control thread
      */
     public FleetLink(
             final FleetSettings settings,
@@ -124,7 +124,7 @@
         this.view = new Courier.FleetView(settings.block().reserve(), Map.of(), Map.of());
     }
 
-    /** Takes the peers' address as soon as no other process of this courier holds it, and begins. Any thread. */
+    /** Starts, and binds the peer address as soon as no other process of this courier holds it. Thread-safe. */
     public void start() {
         loop.execute(this::bind);
         loop.scheduleWithFixedDelay(this::tell, TELL_MS, TELL_MS, TimeUnit.MILLISECONDS);
@@ -146,7 +146,8 @@
 
                     @Override
                     public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
-                        // A peer's closed port comes back as an error of this socket: a datagram was lost, no more.
+                        // A peer's closed port is reported as an error of this socket; it only means that a datagram
+                        // was lost.
                         if (!(cause instanceof IOException)) {
                             failed("a datagram", cause);
                         }
@@ -200,13 +201,13 @@
         content.readBytes(bytes);
         guarded("a datagram", () -> {
             state.receive(now(), from, bytes);
-            // What a message makes due (an answer that is waited for, a rumour) does not wait for the next turn.
+            // What a message triggers (an awaited answer, gossip) does not wait for the next turn.
             state.tick(now());
         });
         publish();
     }
 
-    /** One turn of the control thread: what the traffic reports, what is due, and a fresh view. */
+    /** One turn of the control thread: processes reports and due work, and publishes a new view. */
     private void turn() {
         turnDue.set(false);
         if (ended || state == null) {
@@ -228,7 +229,10 @@
         }
     }
 
-    /** A fault in the shared state may cost freshness: it never ends the thread, and rations and leases run out by themselves. */
+    /**
+     * A fault in the shared state never ends the thread. It may make the view stale, but rate leases and duty leases
+     * expire by themselves.
+     */
     private void guarded(final String what, final Runnable step) {
         try {
             step.run();
@@ -267,12 +271,12 @@
         return new Moment(monoUs.getAsLong(), System.currentTimeMillis());
     }
 
-    /** What the couriers share, as it was last published; never null. Any thread. */
+    /** The shared state as last published; never null. Thread-safe. */
     public Courier.FleetView view() {
         return view;
     }
 
-    /** What the traffic knows and wants. Any thread; never blocks. */
+    /** Passes on what the traffic knows and needs. Thread-safe; never blocks. */
     public void report(final List<Courier.Report> batch) {
         if (!reports.offer(batch)) {
             droppedReports.incrementAndGet();
@@ -280,8 +284,8 @@
     }
 
     /**
-     * Ends: duties are given up, and where {@code leaves}, the peers hear that this courier leaves; in an upgrade it does not.
-     * Any thread; returns at once.
+     * Stops: gives up duties and, if {@code leaves}, tells the peers that this courier leaves, which it does not during
+     * an upgrade. Thread-safe; returns at once.
      */
     public void end(final boolean leaves) {
         loop.execute(() -> {
@@ -301,7 +305,7 @@
             return;
         }
         final String drops =
-                "strangers " + strangers + ", reports " + droppedReports.get() + ", frames " + state.drops();
+                "unknown senders " + strangers + ", reports " + droppedReports.get() + ", frames " + state.drops();
         if (!drops.equals(told)
                 && (strangers > 0 || droppedReports.get() > 0 || !state.drops().isEmpty())) {
             told = drops;
--- a/src/main/java/driftchute/node/fleet/FleetSettings.java
+++ b/src/main/java/driftchute/node/fleet/FleetSettings.java
@@ -10,7 +10,7 @@
 import java.util.List;
 
 /**
- * What a courier needs to share state: where its datagrams come in, the peers' addresses by number, which of them it is, and
+ * The settings for sharing state: the address for datagrams, the peers' addresses by number, this courier's number, and
  * the {@code fleet} block of the configuration.
  */
 public record FleetSettings(InetSocketAddress listen, List<InetSocketAddress> peers, int self, FleetBlock block) {
@@ -18,7 +18,7 @@
             .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
             .build();
 
-    /** @throws IllegalArgumentException where the addresses and the numbers do not fit together */
+    /** @throws IllegalArgumentException if the addresses and numbers are inconsistent */
     public FleetSettings {
         peers = List.copyOf(peers);
         if (self < 0 || self >= peers.size()) {
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Reads the block.
+     * Parses the block.
      *
-     * @throws IllegalArgumentException with one line that names what is wrong
+     * @throws IllegalArgumentException with one line that names the problem
      */
     public static FleetBlock block(final JsonNode node) {
         try {
--- a/src/main/java/driftchute/node/fleet/IncarnationFile.java
+++ b/src/main/java/driftchute/node/fleet/IncarnationFile.java
@@ -9,9 +9,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * The incarnation that this courier last went by, in its state folder: one line with the number and its CRC32C, replaced in
- * one step. A folder that is empty (a power loss) or a line that fails its check counts as none: the tier's memory of the
- * higher incarnation then reaches the courier as a claim about itself, and it goes past it.
+ * Stores the last incarnation number of this courier in its state folder: one line with the number and its CRC32C,
+ * replaced atomically. An empty folder (a power loss) or a line that fails its check counts as no number: the peers
+ * then report the higher incarnation as a claim about this courier, and it exceeds it.
  */
 final class IncarnationFile {
     private static final String FILE = "incarnation";
@@ -23,7 +23,7 @@
         this.folder = folder;
     }
 
-    /** The number kept, or 0 where there is none that can be trusted. */
+    /** The stored number, or 0 if there is no valid one. */
     long read() throws IOException {
         final String[] words;
         try {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Keeps a number; it is in place when this returns. */
+    /** Stores a number. It is in place when this returns. */
     void write(final long incarnation) throws IOException {
         Files.createDirectories(folder);
         final String number = Long.toString(incarnation);
--- a/src/test/java/driftchute/fleet/RecoveryBench.java
+++ b/src/test/java/driftchute/fleet/RecoveryBench.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * How long a courier takes from its start to {@code GET /up} 200 with an empty folder and with a journal filled to
- * its bound (disk_mb 3), ten starts each. A benchmark: {@code mvn -B verify -Pbench}; it prints, it does not judge.
+ * The time from a courier's start to {@code GET /up} 200 with an empty folder and with a journal filled to its limit
+ * (disk_mb 3), ten starts each. A benchmark: {@code mvn -B verify -Pbench}; it prints, and checks nothing.
  */
 final class RecoveryBench {
     private static final int STARTS = 10;
@@ -42,7 +42,7 @@
                     us.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - fromNs));
                     final long readyMs =
                             courier.events("ready").get(0).path("t_ms").asLong();
-                    // An empty folder resumes nothing and says nothing of it.
+                    // With an empty folder nothing is resumed or logged.
                     final long resumedMs =
                             full ? courier.events("resumed").get(0).path("t_ms").asLong() : readyMs;
                     toResumedMs.recordValue(resumedMs - fromMs);
--- a/src/test/java/driftchute/fleet/ReservedPort.java
+++ b/src/test/java/driftchute/fleet/ReservedPort.java
@@ -7,9 +7,9 @@
 import java.net.Socket;
 
 /**
- * A TCP port of the system's choice that a courier listens on later, and again after each restart. Until {@link #close} a socket
- * that never listens stays bound to it, so that the system gives it to nobody who asks for any port; a listener that may reuse
- * addresses, as a courier's does, gets it all the same.
+ * A TCP port chosen by the system on which a courier listens later, and again after each restart. Until {@link #close},
+ * a socket that never listens stays bound to it, so that the system gives it to nobody who asks for any port. A
+ * listener that may reuse addresses, like a courier's, can bind it nevertheless.
  */
 final class ReservedPort implements AutoCloseable {
     private final Socket holder = new Socket();
