--- a/src/main/java/driftchute/node/AnswerDecoder.java
+++ b/src/main/java/driftchute/node/AnswerDecoder.java
@@ -9,19 +9,19 @@
 import java.util.List;
 
 /**
- * Reads answers strictly, and tells of each as soon as there is something to tell: that it has begun, and what its
- * first line says, which is true whatever becomes of the rest.
+ * A strict response decoder that reports each answer's beginning and its status line as early as possible. The status
+ * line is valid whatever happens to the rest.
  */
 final class AnswerDecoder extends HttpResponseDecoder {
     private static final int MOST_LINE_BYTES = 1024;
     private static final int MOST_HEAD_BYTES = 8192;
 
-    /** Who is told. */
+    /** Receives the events. */
     interface Listener {
-        /** Bytes of an answer have come. */
+        /** Bytes of an answer have arrived. */
         void begun();
 
-        /** The first line of an answer has come whole. */
+        /** The status line of an answer is complete. */
         void firstLine(HttpResponse answer);
     }
 
@@ -54,10 +54,10 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(final HttpMessage message) {
-        throw new IllegalArgumentException("a length and a transfer coding");
+        throw new IllegalArgumentException("both a content length and a transfer coding");
     }
 
-    /** No call asks for another protocol: a 101 is one more answer that is not the last. */
+    /** No call asks for another protocol, so a 101 is just another interim answer. */
     @Override
     protected boolean isSwitchingToNonHttp1Protocol(final HttpResponse answer) {
         return false;
--- a/src/main/java/driftchute/node/Host.java
+++ b/src/main/java/driftchute/node/Host.java
@@ -18,63 +18,67 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * The one that calls {@link Control}: it tells it what the sockets brought in a pass of the event loop, lets it decide
- * once, and carries out what it asked for. It holds the open messages, and keeps the journal ahead of every byte that
- * promises something. It holds nothing before it takes up the journal, and stops deciding when it leaves that to the
- * next process. All of it runs on the event loop's thread.
+ * Connects the sockets, the journal and the decisions ({@link Control}): reports to the decisions what arrived in one
+ * pass of the event loop, lets them decide once, and carries out the requested actions. It holds the open messages and
+ * writes the journal before any byte that makes a promise. It holds nothing before it has taken over the journal, and
+ * stops deciding when it hands over to the next process. Runs on the event loop's thread.
  */
 final class Host implements Courier.Actions {
     private static final long US_PER_MS = 1000;
-    /** When the store is full: a message's time in it is some seconds, so that one place is free soon. */
+    /** Retry-After when the store is full. Messages stay in it for some seconds, so a place becomes free soon. */
     private static final long FULL_RETRY_US = 1_000_000;
-    /** How often the log tells how things stand, while messages pile up. */
+    /** Interval of the status line in the log while many messages are held. */
     private static final long STATUS_MS = 5_000;
-    /** How often the orders are looked at while nothing is decided: what is about to be sent must be held back. */
+    /**
+     * Interval at which the operators' orders are checked when nothing else triggers it, so that calls about to be sent
+     * are held back.
+     */
     private static final long HEED_MS = 50;
-    /** How often the file of a process that ends is looked at. */
+    /** Interval at which the journal of an ending predecessor is read. */
     private static final long FOLLOW_MS = 5;
-    /** How often a process that ends says up to when all that its calls were told is recorded. */
+    /** Interval at which an ending process records the time up to which all its calls' answers are recorded. */
     private static final long HEARD_MS = 10;
     /**
-     * How old that may be for a call to go where the process before has calls out. A call may arrive for 100 ms after an
-     * answer that tells a wait (PROTOCOL-irishead.md, The rules on sockets); the rest is for its way.
+     * Maximum age of that time for a call to a destination where the predecessor has calls in flight. A call may still
+     * arrive for 100 ms after an answer that asks for a wait (PROTOCOL-irishead.md, The rules on sockets); the rest is
+     * for its transmission.
      */
     private static final long HEARD_FRESH_US = 60_000;
-    /** Beyond that by so much, its silence is worth a line. */
+    /** Additional silence of the predecessor after which a line is logged. */
     private static final long SILENT_US = 200_000;
-    /** How often the couriers that share what they know are told what this one knows and wants. */
+    /** Interval of the reports to the other couriers. */
     private static final long REPORT_MS = 100;
-    /** Share of a key's window after which no repeat is written: the rest is for its way. */
+    /** Share of a key's window after which no repeat is written. The rest is for its transmission. */
     private static final double KEY_SHARE = 0.95;
     /**
-     * Messages that are taken up in one turn of the loop, with one pass of the decisions: all at once would keep clients
-     * waiting for as long as the first pass over a full store takes, on code that has not run yet.
+     * Maximum number of messages resumed in one turn of the event loop, with one decision pass. Resuming all at once
+     * would delay clients by the first pass over a full store, which runs on code that is not compiled yet.
      */
     private static final int TAKEN_UP_AT_ONCE = 32;
-    /** Share of the store that makes a pile. */
+    /** Share of the store above which the status is logged. */
     private static final double PILE_SHARE = 0.1;
 
-    /** Where the answer to a client goes. */
+    /** The way to answer a client. */
     interface Reply {
-        /** Taken on. */
+        /** The message is accepted. */
         void accepted();
 
-        /** Refused, and harmless to hand in again, after a while if above 0. */
+        /** The message is refused and may safely be submitted again, after {@code retryAfterUs} if above 0. */
         void refused(int status, long retryAfterUs);
 
-        /** Ended with nothing promised. */
+        /** The message failed; it may have taken effect. */
         void failed();
     }
 
-    /** A message that is owed its end. */
+    /** An open message. */
     static final class Open {
         final Held held;
-        /** An earlier process took it on; the promise to its client is that one's. */
+        /** Accepted by an earlier process, which answered the client. */
         private final boolean resumed;
 
         final Courier.MessageClass kind;
         final long validUntilUs;
-        /** Where its first answer goes; null once that is given. */
+        /** Receives the first answer; null once it is given. */
         private Reply reply;
 
         private boolean over;
@@ -106,36 +110,39 @@
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<Long, List<Parcel>> outbox = new LinkedHashMap<>();
     private final List<Open> unanswered = new ArrayList<>();
-    /** What earlier processes took on and the decisions have not been told of yet, by id, in the order taken. */
+    /** Messages of earlier processes that were not reported to the decisions yet, by id, in the order of acceptance. */
     private final Map<String, Held> untold = new LinkedHashMap<>();
 
     private boolean passDue;
     private InetSocketAddress discoveryAt;
-    /** Discovery has told of its list, or cannot be asked: what is known of it is gone by. */
+    /** Discovery has reported its list, or cannot be reached, so that the stored list is used. */
     private boolean confirmed;
-    /** Another process decides and sends now; this one ends the calls that are out. */
+    /** Another process decides and sends now; this one only finishes its calls in flight. */
     private boolean leaving;
 
     private ScheduledFuture<?> following;
-    /** What the couriers of the tier share; null where they share nothing, or while this process does not serve. */
+    /** The shared state of the tier; null if couriers share nothing, or while this process does not serve. */
     private FleetLink fleet;
 
     private final AtomicBoolean viewDue = new AtomicBoolean();
-    /** What earlier processes learnt of destinations that the list does not name yet. */
+    /** State of earlier processes about destinations that are not listed yet. */
     private final Map<Long, Courier.Memory> unlisted = new HashMap<>();
-    /** The end of the latest wait of each destination that was taken over from them. */
+    /** End of the latest wait of each destination that was taken over from earlier processes. */
     private final Map<Long, Long> waitsTakenUs = new HashMap<>();
-    /** Until when the earlier process counts as heard. */
+    /** Until when the predecessor's state counts as recent. */
     private long freshUntilUs = Long.MAX_VALUE;
 
     private boolean silent;
-    /** When the loop last came by, Unix us, and the time before: up to then each connection has surely been read. */
+    /**
+     * Wall-clock time of the last turn and the one before, Unix us. Each connection has been read up to the earlier
+     * one.
+     */
     private long turnWallUs;
 
     private long readWallUs;
-    /** The orders that the decisions have been told of. */
+    /** The orders that were last reported to the decisions. */
     private Orders.Standing heeded;
-    /** Since the log last told how things stand: nothing else happens on the loop during a pass. */
+    /** Longest decision pass since the last status line. Nothing else runs on the event loop during a pass. */
     private long longestPassUs;
 
     Host(final Config config, final EventLoop loop, final Clock clock, final Journal journal, final Orders orders) {
@@ -153,7 +160,7 @@
         config.settings().classes().forEach(kind -> classes.put(kind.name(), classes.size()));
     }
 
-    /** Begins to follow the list: nothing else is done before this process takes the place of the one before. */
+    /** Starts to follow the list. Nothing else happens before this process takes over. */
     void start() {
         discovery.restore(knownList.newest(config.known(), discoveryAt));
         loop.scheduleWithFixedDelay(this::lookUp, HEED_MS, HEED_MS, TimeUnit.MILLISECONDS);
@@ -161,7 +168,10 @@
         touch();
     }
 
-    /** From now on this process decides, records and sends; first it takes up what earlier ones held. */
+    /**
+     * Takes over: from now on this process decides, records and sends. First it resumes the messages of earlier
+     * processes.
+     */
     void takeUp() throws IOException {
         catchUp();
         knownList.keep();
@@ -178,7 +188,7 @@
             Log.event("resumed", "msg", "resumed " + resumed + " messages", "messages", resumed);
         }
         if (journal.hasPredecessors()) {
-            Log.info("an earlier process still ends its calls");
+            Log.info("the predecessor process is still finishing its calls");
             following =
                     loop.scheduleWithFixedDelay(this::followPredecessors, FOLLOW_MS, FOLLOW_MS, TimeUnit.MILLISECONDS);
         }
@@ -186,7 +196,7 @@
         takeUpSome();
     }
 
-    /** The process before this one may have been told more of the list, and discovery may be silent now. */
+    /** Loads a newer list that the predecessor received, since discovery may be unreachable now. */
     private void catchUp() {
         final JsonNode list = knownList.newer(discoveryAt);
         if (list != null) {
@@ -198,7 +208,7 @@
         }
     }
 
-    /** Tells the decisions of the next messages; the loop looks at its sockets between two turns of this. */
+    /** Resumes the next messages. The event loop polls its sockets between two turns of this. */
     private void takeUpSome() {
         final List<Held> next = untold.values().stream().limit(TAKEN_UP_AT_ONCE).toList();
         next.forEach(held -> {
@@ -211,14 +221,14 @@
         }
     }
 
-    /** Takes up one more, or what has become meanwhile of one that waits for its turn. */
+    /** Resumes a message, or replaces the state of one that still waits to be resumed. */
     private void takeUp(final Held held) {
         if (untold.replace(held.id, held) == null) {
             resume(held);
         }
     }
 
-    /** From now on this courier shares what it knows, where it may: only the process that serves does. */
+    /** Joins the fleet, if configured. Only the serving process does. */
     private void join() {
         if (config.fleet() != null) {
             fleet = new FleetLink(
@@ -229,7 +239,7 @@
                     clock::nowUs,
                     Log::event,
                     view -> {
-                        // However far the traffic is behind, one reading of the latest view is enough.
+                        // One reading of the latest view is enough, however far the traffic thread is behind.
                         if (viewDue.compareAndSet(false, true)) {
                             loop.execute(this::readView);
                         }
@@ -247,14 +257,14 @@
         touch();
     }
 
-    /** Says nothing more to the other couriers; {@code leaves}: no process of this one goes on just now. */
+    /** Leaves the fleet. {@code leaves}: no process of this courier continues for now. */
     private void part(final boolean leaves) {
         if (fleet != null) {
             fleet.end(leaves);
         }
     }
 
-    /** Takes up what a process that ends has left since, and what its calls have told it. */
+    /** Reads what an ending predecessor has released since, and what its calls reported. */
     private void followPredecessors() {
         if (leaving) {
             following.cancel(false);
@@ -271,14 +281,14 @@
         if (!journal.hasPredecessors()) {
             following.cancel(false);
             control.onAlone(clock.nowUs());
-            Log.info("the earlier process is gone");
+            Log.info("the predecessor process has ended");
             touch();
         }
     }
 
     /**
-     * The earlier process owes nothing for that message any more, and so nor does this one. But what this one took on by
-     * itself under the same id, from a client that came again, it has promised and still owes.
+     * The predecessor has finished that message, so this process need not. But if a client submitted a message with the
+     * same id to this process again, this process has promised to deliver it and still has to.
      */
     private void overElsewhere(final String id) {
         final Open open = messages.get(id);
@@ -308,7 +318,7 @@
         }
     }
 
-    /** Tells the decisions up to when it is known here what the calls of an earlier process were told. */
+    /** Reports to the decisions up to when the answers to the predecessor's calls are known. */
     private void hear() {
         final long heardWallUs = journal.heardWallUs();
         freshUntilUs = heardWallUs == Long.MAX_VALUE ? heardWallUs : clock.fromWallUs(heardWallUs) + HEARD_FRESH_US;
@@ -318,31 +328,32 @@
             Log.event(
                     "earlier_silent",
                     "msg",
-                    "an earlier process with calls out has not been heard for "
+                    "a predecessor process with calls in flight has recorded nothing for "
                             + (clock.nowUs() - freshUntilUs + HEARD_FRESH_US) / US_PER_MS
-                            + " ms; nothing goes where it has calls");
+                            + " ms; no calls are made where it has calls in flight");
         } else if (silent && !now) {
-            Log.event("earlier_heard", "msg", "the earlier process is heard again, or has no calls out");
+            Log.event("earlier_heard", "msg", "the predecessor process records again, or has no calls in flight");
         }
         silent = now;
     }
 
     /**
-     * True if a call may be written now; from then on the journal has it as begun. Decisions and connecting take time,
-     * in which a wait may have come or a key's window have passed; and a process that dies before this has not tried.
+     * True if a call may be written now; the journal has recorded it as begun then. Decisions and connecting take time,
+     * in which a wait may have been requested or a key's window may have ended. A process that dies before this has
+     * made no attempt.
      */
     boolean mayWrite(final Endpoints.Call call) {
-        // An order holds once it is in its file; the next pass may come later than this connection did.
+        // An order applies as soon as it is in its file; the next pass may come later than this connection did.
         heed();
         if (call.parcels().isEmpty() || !mayWrite(call.parcels().get(0).open().held.destination)) {
             return false;
         }
-        // What was looked up may just have ended the call.
+        // Checking may just have ended the call.
         return call.parcels().stream().allMatch(parcel -> parcel.open().call == call && !isForgotten(parcel))
                 && isRecorded(call);
     }
 
-    /** An attempt that the journal does not know of would be forgotten by a restart. */
+    /** An attempt that is not in the journal would be forgotten after a restart. */
     private boolean isRecorded(final Endpoints.Call call) {
         boolean recorded = true;
         for (final Parcel parcel : call.parcels()) {
@@ -351,7 +362,7 @@
         return recorded;
     }
 
-    /** True if it may have run, and so long ago that endpoints may not know its key any more. */
+    /** True if the message may have been executed so long ago that endpoints may have forgotten its key. */
     private boolean isForgotten(final Parcel parcel) {
         final Courier.MessageClass kind = parcel.open().kind;
         final long firstRunWallUs = parcel.open().held.firstRunWallUs();
@@ -360,7 +371,7 @@
                 && clock.wallUs() - firstRunWallUs >= KEY_SHARE * kind.keyWindowUs();
     }
 
-    /** While an earlier process ends its calls, what these were told is looked up once more. */
+    /** While a predecessor finishes its calls, reads once more what they reported. */
     private boolean mayWrite(final long destination) {
         if (leaving) {
             return false;
@@ -371,26 +382,26 @@
         return journal.callsOutElsewhere(destination) == 0 || clock.nowUs() <= freshUntilUs;
     }
 
-    /** An answer told a wait: worth a line while two processes are one courier. */
+    /** Logs a requested wait while two processes are one courier. */
     void waitTold(final long destination, final String dial, final long waitUs) {
         if (leaving || journal.hasPredecessors()) {
             Log.event("wait_told", "dest", destination, "dial", dial, "ms", waitUs / US_PER_MS);
         }
     }
 
-    /** Descriptors that calls may reckon with: two processes of one courier share them. */
+    /** Descriptors available for calls. Two processes of one courier share them. */
     int descriptors() {
         return journal.hasPredecessors() || leaving ? config.sockets() / 2 : config.sockets();
     }
 
     private void tell() {
         if (messages.size() > PILE_SHARE * config.settings().limits().maxOpen()) {
-            Log.info("longest pass " + longestPassUs / US_PER_MS + " ms; " + control.describe(clock.nowUs()));
+            Log.info("longest decision pass " + longestPassUs / US_PER_MS + " ms; " + control.describe(clock.nowUs()));
         }
         longestPassUs = 0;
     }
 
-    /** Goes on with a message that an earlier process took on. */
+    /** Resumes a message that an earlier process accepted. */
     private void resume(final Held held) {
         final Integer index = classes.get(held.className);
         if (held.notice() != null) {
@@ -411,7 +422,7 @@
         control.onResumed(clock.nowUs(), message(open, index), past);
     }
 
-    /** Records the outcome of an attempt, if one was written. */
+    /** Records the outcome of an attempt if one was begun. */
     private void settle(final Held held, final boolean neverRan) {
         if (held.isOut()) {
             journal.settle(held, neverRan);
@@ -422,7 +433,7 @@
         return new Courier.Message(open.held.id, index, -1, null, open.validUntilUs, open.held.destination);
     }
 
-    // ---------------------------------------------------------------- what the sockets bring
+    // ---------------------------------------------------------------- events from the sockets
 
     /** The class of that name, or null. */
     Courier.MessageClass kind(final String className) {
@@ -430,17 +441,17 @@
         return index == null ? null : config.settings().classes().get(index);
     }
 
-    /** True while a message of that id is owed its end, or its notice. */
+    /** True while a message of that id is open or its notice unconfirmed. */
     boolean holds(final String id) {
         return messages.containsKey(id) || journal.holds(id);
     }
 
-    /** False for a destination that, as far as can be known now, does not exist. */
+    /** False for a destination that, as far as is known, does not exist. */
     boolean knows(final long destination) {
         return discovery.knows(destination);
     }
 
-    /** Takes a message, if there is room; its reply comes at the end of the pass. */
+    /** Accepts a message if there is space; its answer follows at the end of the pass. */
     void offer(final Held held, final long validUntilUs, final Reply reply) {
         final int open = leaving ? journal.count() : messages.size() + untold.size();
         if (open >= config.settings().limits().maxOpen() || !journal.take(held)) {
@@ -448,7 +459,7 @@
             return;
         }
         if (leaving) {
-            // The next process reads of it in the journal, and sends it.
+            // The next process reads it from the journal and sends it.
             reply.accepted();
             return;
         }
@@ -464,7 +475,7 @@
         touch();
     }
 
-    /** The client went before it was answered: nobody knows of this message, and nobody wants it. */
+    /** The client left before it was answered, so nobody counts on this message. */
     void withdraw(final String id) {
         final Open open = messages.get(id);
         if (open != null) {
@@ -476,12 +487,12 @@
         }
     }
 
-    /** A list has come that can be read, from that address; the next process may not know less of it. */
+    /** A valid list arrived from that address. It is stored for the next process. */
     void told(final JsonNode list, final Courier.Update update, final InetSocketAddress from) {
         knownList.told(list, update, from);
     }
 
-    /** The list has changed, or could not be had. */
+    /** The list changed, or could not be fetched. */
     void list(final Courier.Update update, final List<Courier.Endpoint> entries) {
         confirmed = update != Courier.Update.RESTORED;
         control.onList(clock.nowUs(), update, entries);
@@ -497,7 +508,7 @@
         touch();
     }
 
-    /** True if the list has ever named that endpoint to this process. On any thread. */
+    /** True if the list has ever named that endpoint to this process. Thread-safe. */
     boolean hasListed(final String endpoint) {
         return discovery.hasListed(endpoint);
     }
@@ -524,7 +535,7 @@
                         answer.waitUs(),
                         answer.allowance()));
         if (leaving) {
-            // First what was told with the outcome: once that is recorded, the next process may send the message.
+            // Records first what the outcome reported: once it is recorded, the next process may send the message.
             leave(open);
         }
         if (ends) {
@@ -540,9 +551,9 @@
         confirmed.forEach(journal::over);
     }
 
-    // ---------------------------------------------------------------- the pass
+    // ---------------------------------------------------------------- decision pass
 
-    /** Lets the decisions be made once all that this pass of the loop brought has been told. */
+    /** Schedules a decision pass after everything that this turn of the event loop brought has been reported. */
     private void touch() {
         if (!passDue) {
             passDue = true;
@@ -559,7 +570,7 @@
                 control.decide(clock.nowUs());
             }
         } catch (final RuntimeException | Error e) {
-            Log.failure("decisions failed", e);
+            Log.failure("the decision pass failed", e);
         }
         answer();
         outbox.forEach(this::sendAll);
@@ -576,7 +587,7 @@
         }
     }
 
-    /** Tells the decisions which endpoints the operators have taken out, whenever that or the list has changed. */
+    /** Reports the disabled endpoints to the decisions whenever the orders or the list have changed. */
     private void heed() {
         final Orders.Standing standing = orders.standing();
         if (standing != heeded) {
@@ -588,7 +599,7 @@
         }
     }
 
-    /** What was taken and not ended in the same pass is taken on. */
+    /** Accepts the messages that were offered and not ended in the same pass. */
     private void answer() {
         final List<Open> due = List.copyOf(unanswered);
         unanswered.clear();
@@ -611,7 +622,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- what the decisions ask for
+    // ---------------------------------------------------------------- actions requested by the decisions
 
     @Override
     public void send(final String messageId, final long endpoint, final long timeoutUs) {
@@ -651,7 +662,7 @@
         }
     }
 
-    /** Ends a message that was taken on by a notice; the journal holds the notice until it is confirmed. */
+    /** Ends an accepted message with a notice. The journal holds the notice until it is confirmed. */
     private void end(final Open open, final Held.Notice notice) {
         open.over = true;
         messages.remove(open.held.id);
@@ -690,22 +701,22 @@
         loop.schedule(this::touch, delayUs, TimeUnit.MICROSECONDS);
     }
 
-    // ---------------------------------------------------------------- a new configuration
+    // ---------------------------------------------------------------- new configuration
 
-    /** Moves to the discovery of a new configuration at once; all else counts from the next start. */
+    /** Applies a new configuration: switches to its discovery at once; everything else applies from the next start. */
     void reload(final Config fresh) {
         final boolean same =
                 fresh.settings().equals(config.settings()) && fresh.listen().equals(config.listen());
         Log.info("SIGHUP: discovery is at " + fresh.discovery()
-                + (same ? "" : "; what else is new in the configuration counts from the next start"));
+                + (same ? "" : "; other changes of the configuration apply from the next start"));
         discoveryAt = fresh.discovery();
         discovery.move(fresh.discovery());
         notices.move(fresh.discovery());
     }
 
-    // ---------------------------------------------------------------- the end of the process
+    // ---------------------------------------------------------------- end of the process
 
-    /** This process ends at that moment: nothing is begun that cannot end by then. */
+    /** This process ends at that time: no call begins that cannot finish by then. */
     void stopping(final long stopUs) {
         part(true);
         control.onStopping(clock.nowUs(), stopUs);
@@ -713,15 +724,15 @@
     }
 
     /**
-     * Another process takes this one's place: nothing more is decided or begun here. What has no call out is the next
-     * one's from this moment; the outcomes of the others go into the journal, which it reads.
+     * Hands over to another process: nothing more is decided or begun here. Messages without a call in flight belong to
+     * the successor from now on; the outcomes of the others go into the journal, which the successor reads.
      */
     void leave() {
         leaving = true;
         knownList.leave();
         part(false);
         pass();
-        // Written later, it would meet waits that the next process is told of and this one is not.
+        // Written later, such a call could violate a wait that only the successor knows.
         endpoints.giveBackUnwritten();
         messages.values().removeIf(open -> open.call == null);
         untold.values().forEach(held -> settle(held, false));
@@ -733,7 +744,10 @@
         endpoints.closeAllIdle();
     }
 
-    /** Says up to when all is recorded: the loop has read each connection since this last ran, and not yet in this run. */
+    /**
+     * Records the time up to which all outcomes are recorded: the event loop has read each connection since this last
+     * ran, and not yet in this turn.
+     */
     private void heard() {
         if (endpoints.isCalling()) {
             journal.heard(readWallUs);
@@ -742,7 +756,10 @@
         }
     }
 
-    /** The outcome of a message's call has come: the next process goes on with it, with what is known now. */
+    /**
+     * The outcome of a message's call is known: the successor continues with it, with the latest state of the
+     * destination.
+     */
     private void leave(final Open open) {
         messages.remove(open.held.id);
         memories().stream()
@@ -751,8 +768,8 @@
     }
 
     /**
-     * The process ends now. Its connections would stay open, and their answers unread, for as long as that takes; so the
-     * calls that are left end first, as ones that may have run, and the next process has them and knows that none is out.
+     * The process ends now. Its connections would stay open with unread answers until it has exited, so the remaining
+     * calls are ended first, as possibly executed. The successor then takes them over and knows that none is in flight.
      */
     void cutOff() {
         endpoints.abandonAll();
@@ -765,7 +782,7 @@
                 .toList();
     }
 
-    /** True when nothing is under way that the end of the process would cut off. */
+    /** True if nothing is in progress that the end of the process would cut off. */
     boolean idle() {
         return messages.isEmpty() && untold.isEmpty() && notices.isEmpty();
     }
--- a/src/main/java/driftchute/node/Intake.java
+++ b/src/main/java/driftchute/node/Intake.java
@@ -50,8 +50,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Where clients hand messages in. A message that is taken is answered in the pass that read it; whatever cannot be
- * read or used is answered with its 4xx, and nothing is taken. No request is left without an answer.
+ * The HTTP server for clients. A message that is accepted is answered in the pass of the event loop that read it. A
+ * request that cannot be read or used is answered with a 4xx status and not accepted. Every request gets an answer.
  */
 final class Intake {
     static final int TOO_MANY = 429;
@@ -60,51 +60,53 @@
     private static final int FAILED = 500;
     private static final int MOST_BODY_BYTES = 1 << 16;
     private static final int MOST_ID_CHARS = 128;
-    /** Whole requests of one connection that wait their turn; what comes behind them is left unread until then. */
+    /** Maximum number of complete requests queued on one connection. Further requests stay unread until then. */
     private static final int MOST_QUEUED = 16;
-    /** Bodies that are coming in or wait their turn, on all connections together. */
+    /** Maximum size of all bodies that are being received or queued, over all connections, bytes. */
     private static final int MOST_HELD_BYTES = 1 << 22;
-    /** What is read at once from one connection: one that floods may not keep the others waiting. */
+    /** Maximum size of one read from a connection, bytes, so that a client that floods does not delay the others. */
     private static final int READ_BYTES = 1 << 14;
-    /** What the system holds of answers that a client has not read: more would hide for long whether it reads. */
+    /** Size of the send buffer, bytes. A larger one would long hide that a client does not read its answers. */
     private static final int SEND_BYTES = 1 << 16;
 
     private static final int BACKLOG = 256;
     private static final long US_PER_MS = 1000;
     private static final double US_PER_SECOND = 1_000_000;
     /**
-     * How long a request may take to come in whole, a new connection to begin one, and a client to read what it is
-     * answered: it waits for 400 ms (PROTOCOL-irishead.md, Clients to couriers).
+     * Maximum time for a request to arrive completely, for a new connection to begin one, and for a client to read its
+     * answers. A client waits 400 ms for an answer (PROTOCOL-irishead.md, Clients to couriers).
      */
     private static final long REQUEST_US = 2_000_000;
-    /** How long a connection is kept between requests, and how long where there are many. */
+    /** Idle time-out of a connection between requests, normally and when there are many connections. */
     private static final long IDLE_US = 10_000_000;
 
     private static final long CROWDED_IDLE_US = 2_100_000;
     private static final double CROWDED_SHARE = 0.5;
-    /** How often the log tells of connections closed for lack of room. */
+    /** Interval of the log line about connections closed for lack of capacity. */
     private static final long CROWDED_LOG_US = 5_000_000;
-    /** In a drain a connection is closed once idle for so long: no sooner may a courier (TERMS-irishead.md). */
+    /** Idle time-out during a drain. A courier may not close a connection sooner (TERMS-irishead.md). */
     private static final long DRAIN_IDLE_US = 2_000_000;
-    /** In the operators' drain, and in an upgrade, each that is idle so long after its beginning is closed. */
+    /** Time after the beginning of an operator's drain or an upgrade at which all idle connections are closed. */
     private static final long DRAIN_US = 1_500_000;
 
     private static final long SWEEP_MS = 200;
-    /** When it is tried again to accept a connection for which there was no descriptor. */
+    /** Delay before accepting again after no descriptor was available. */
     private static final long ACCEPT_PAUSE_MS = 50;
-    /** The loop has looked at its sockets again by then, and what it gave back is free. */
+    /**
+     * Delay after which the event loop has polled its sockets once more, so that a deregistered listener is released.
+     */
     private static final long DEREGISTERED_MS = 2;
-    /** For how long a request may have waited to be read, beyond what an end may be late anyway. */
+    /** Time that a request may have waited unread, beyond the tolerance for late answers. */
     private static final long WAITED_US = 200_000;
 
     private static final long GONE_RETRY_US = 500_000;
-    /** For how long after its time an id is not taken on again: by then its last call is surely over. */
+    /** Time after a message's deadline in which its id is not accepted again. Its last call is over by then. */
     private static final long TAKEN_US = 1_000_000;
-    /** Share of the descriptors for clients. */
+    /** Share of the descriptors for client connections. */
     private static final double SOCKET_SHARE = 0.4;
     /**
-     * The same for a process that leaves: the next one has its whole share for them, and each of the two has a fifth for
-     * calls (Host); together they stay within the courier's sockets (DEPLOY-irishead.md).
+     * The same for a process that is being replaced: its successor has the full share for clients, and each of the two
+     * has a fifth for calls ({@link Host}). Together they stay within the courier's sockets (DEPLOY-irishead.md).
      */
     private static final double LEAVING_SHARE = 0.15;
 
@@ -114,21 +116,24 @@
     private final Orders orders;
     private int mostConnections;
     private final Set<Session> sessions = new HashSet<>();
-    /** Messages that were taken on, by their ids, and until when each of them is not taken on again. */
+    /** Ids of accepted messages, with the time until which each is not accepted again. */
     private final Map<String, Long> takenUntilUs = new HashMap<>();
 
     private int heldBytes;
     private ServerSocketChannel socket;
     private Channel listener;
-    /** Since when the operators have drained it, as far as was noticed; never, while they have not. */
+    /** When an operator's drain was first noticed; {@code Long.MAX_VALUE} without a drain. */
     private long drainedSinceUs = Long.MAX_VALUE;
 
     private boolean ending;
-    /** Since when the process ends with nobody to take its place; long ago, while it does not. */
+    /** When the process began to stop without a successor; {@code Long.MIN_VALUE} while it is running. */
     private long restartSinceUs = Long.MIN_VALUE;
-    /** Another process takes this one's place: the courier as a whole stays up. */
+    /** True while another process replaces this one. The courier as a whole stays up. */
     private boolean leaving;
-    /** Connections closed for lack of room since the log last told, by their use; and when it may tell again. */
+    /**
+     * Connections closed for lack of capacity since the last log line, by usefulness, and when the next line may be
+     * written.
+     */
     private final int[] crowdedOut = new int[Session.IN_USE + 1];
 
     private int unfinished;
@@ -140,11 +145,12 @@
         this.clock = clock;
         this.host = host;
         this.orders = orders;
-        // Not halved while two processes share the descriptors: clients may use a third of them, and all come at once.
+        // Not halved while two processes share the descriptors: clients may use a third of them, and may all connect at
+        // once.
         this.mostConnections = (int) Math.max(1, SOCKET_SHARE * config.sockets());
     }
 
-    /** Listens on the one address of the configuration; {@code /up} is answered from then on. */
+    /** Listens on the configured address. {@code /up} is answered from then on. */
     ChannelFuture listen(final EventLoopGroup group, final EventLoop loop) throws IOException {
         socket = ServerSocketChannel.open();
         // The next process of this courier listens beside this one before this one stops.
@@ -179,36 +185,39 @@
         return bound;
     }
 
-    /** Where it listens in fact. */
+    /** The address that it actually listens on. */
     String address() {
         return listener.localAddress().toString().replaceFirst(".*/", "");
     }
 
     /**
-     * The process ends and nobody takes its place: from now on answers end their connections. Clients go on using those
-     * they have, so one on which nothing is asked stays for 2 s more and is closed only then
-     * (docs/restart-connections.md).
+     * Begins to stop without a successor: from now on each connection is closed after its answer. Clients continue to
+     * use the connections they have, so an idle one is closed only after another 2 s (docs/restart-connections.md).
      */
     void drain() {
         ending = true;
         restartSinceUs = clock.nowUs();
     }
 
-    /** From now on answers end their connections; those on which nothing is asked are closed by and by. */
+    /**
+     * Begins to hand over to another process: from now on each connection is closed after its answer, and idle
+     * connections are closed gradually.
+     */
     void leave() {
         ending = true;
         leaving = true;
         mostConnections = (int) Math.max(1, LEAVING_SHARE * config.sockets());
         while (sessions.size() > mostConnections && dropLeastUseful(null)) {
-            // Those in use stay: there are no more of them than clients, which come to the next process one by one.
+            // Connections in use stay open: there are no more of them than clients, and clients move to the next
+            // process one by one.
             continue;
         }
     }
 
     /**
-     * Accepts no further connection, and leaves none in the queue, which a close would reset: the library's close comes
-     * into force only when the loop looks at its sockets again. So the loop gives the listener back first; then what
-     * stands in the queue is accepted by hand, and the listener closed in the same breath.
+     * Closes the listener without resetting connections in its accept queue. Netty's close takes effect only when the
+     * event loop polls its sockets again, so the listener is deregistered first; then the connections in the queue are
+     * accepted directly and the listener is closed immediately afterwards.
      */
     void closeListener() {
         final EventLoop loop = listener.eventLoop();
@@ -222,38 +231,38 @@
                 listener.pipeline().fireChannelRead(new NioSocketChannel(listener, next));
             }
         } catch (final IOException e) {
-            Log.info("the last connections could not be accepted: " + e.getMessage());
+            Log.info("the queued connections could not be accepted: " + e.getMessage());
         }
         listener.close();
         Log.event("listener_closed");
     }
 
-    /** True when no client is connected any more. */
+    /** True if the listener is closed and no client is connected. */
     boolean isEmpty() {
         return sessions.isEmpty() && !listener.isOpen();
     }
 
-    /** What is asked by {@code /up}: whether this courier, by whichever process, takes new clients. */
+    /** The answer of {@code /up}: whether this courier, by any of its processes, accepts new clients. */
     private boolean isUp() {
         return leaving ? !orders.standing().drain() : !isDraining();
     }
 
-    /** True while it takes no new clients: the process ends, or the operators have ordered it. */
+    /** True while the process is stopping or the operators have ordered a drain. */
     private boolean isDraining() {
         return ending || orders.standing().drain();
     }
 
     /**
-     * Ends what is left, before the end of the process does: a request that is still coming in is refused, so that it
-     * has its final answer and may go elsewhere, and a connection on which nothing is asked is closed. What is closing
-     * already, or is being answered, ends by itself.
+     * Ends the remaining connections before the process ends. A request that is still being received is refused, so
+     * that it has its final answer and may be sent elsewhere. Idle connections are closed. Connections that are closing
+     * or being answered end by themselves.
      */
     void hangUp() {
         int idle = 0;
         int incomplete = 0;
         for (final Session session : List.copyOf(sessions)) {
             if (session.isIdle()) {
-                // What has come meanwhile is answered, but too late to be taken on.
+                // Requests that arrived meanwhile are answered, but it is too late to accept them.
                 session.refusing = true;
                 session.catchUp();
             }
@@ -269,8 +278,8 @@
             Log.event(
                     "hung_up",
                     "msg",
-                    "before the end: closed " + idle + " connections without a request, refused " + incomplete
-                            + " requests not yet whole",
+                    "before exit: closed " + idle + " idle connections, refused " + incomplete
+                            + " incomplete requests",
                     "idle",
                     idle,
                     "incomplete",
@@ -278,7 +287,7 @@
         }
     }
 
-    /** Closes what is of no use, and answers what does not come to an end, before anyone has to ask why. */
+    /** Closes idle and stalled connections, and answers requests that do not arrive completely in time. */
     void sweep() {
         final long nowUs = clock.nowUs();
         drainedSinceUs = isDraining() ? Math.min(drainedSinceUs, nowUs) : Long.MAX_VALUE;
@@ -306,18 +315,18 @@
                 || unfinished + acceptFailures == 0 && IntStream.of(crowdedOut).sum() == 0) {
             return;
         }
-        Log.info("of " + mostConnections + " connections of clients at most, closed to make room: " + crowdedOut[0]
-                + " rejected, " + crowdedOut[1] + " that never asked, " + crowdedOut[2] + " unfinished, "
+        Log.info("of " + mostConnections + " client connections at most, closed for lack of capacity: " + crowdedOut[0]
+                + " rejected, " + crowdedOut[1] + " without any request, " + crowdedOut[2] + " with an incomplete request, "
                 + crowdedOut[3]
                 + " idle, " + crowdedOut[Session.IN_USE] + " new; rejected as too slow: " + unfinished
-                + "; not accepted at once: " + acceptFailures);
+                + "; failed to accept: " + acceptFailures);
         Arrays.fill(crowdedOut, 0);
         unfinished = 0;
         acceptFailures = 0;
         crowdedToldUs = nowUs;
     }
 
-    /** For how long a connection may be idle now. */
+    /** Present idle time-out. */
     private long idleUs(final long nowUs) {
         if (restartSinceUs != Long.MIN_VALUE) {
             return DRAIN_IDLE_US;
@@ -329,9 +338,8 @@
     }
 
     /**
-     * Too many connections: one makes room. First those that are rejected already, then those that never asked, then
-     * those whose request does not end, the one that has long sent nothing first, then those that have long been idle;
-     * failing these, the newest goes.
+     * Closes a connection if there are too many: first rejected ones, then those that never sent a request, then those
+     * with an incomplete request (the one silent longest first), then those idle for long, and otherwise the newest.
      */
     private void makeRoom(final Session newest) {
         if (sessions.size() > mostConnections && !dropLeastUseful(newest)) {
@@ -339,7 +347,10 @@
         }
     }
 
-    /** Closes the one that is least useful; false if each is in use, maybe by a request that had not been read yet. */
+    /**
+     * Closes the least useful connection. Returns false if all are in use, possibly by a request that had not been read
+     * yet.
+     */
     private boolean dropLeastUseful(final Session newest) {
         for (Optional<Session> least = leastUseful(newest); least.isPresent(); least = leastUseful(newest)) {
             final boolean wasIdle = least.get().isIdle();
@@ -354,7 +365,7 @@
         return false;
     }
 
-    /** The one whose close does the least harm, if any is not in use; {@code newest} is none of them. */
+    /** The connection whose close does the least harm, if one is not in use. Never {@code newest}. */
     private Optional<Session> leastUseful(final Session newest) {
         final long idleBeforeUs = clock.nowUs() - CROWDED_IDLE_US;
         return sessions.stream()
@@ -369,9 +380,9 @@
     }
 
     /**
-     * A connection could not be accepted, for want of a descriptor: it stays in the queue. Where a connection can be
-     * spared it makes room, and the next turn accepts; else that is tried again soon. The library would wait for 1 s,
-     * more than a client waits for its answer.
+     * Handles a failed accept for lack of a descriptor; the connection stays in the accept queue. If a connection can
+     * be closed, the next turn accepts; otherwise accepting is retried soon. Netty would pause for 1 s, longer than a
+     * client waits for its answer.
      */
     private void acceptFailed(final Throwable cause) {
         if (!dropLeastUseful(null)) {
@@ -391,16 +402,16 @@
         }
     }
 
-    /** A whole request that waits for its turn on its connection. */
+    /** A complete request queued on its connection. */
     private record Request(HttpRequest head, byte[] body) {}
 
-    /** One client's connection. */
+    /** One client connection. */
     private final class Session extends ChannelInboundHandlerAdapter implements RequestDecoder.Flow {
         private static final int IN_USE = 4;
         private final RequestDecoder decoder = new RequestDecoder(this);
         private ChannelHandlerContext context;
         private HttpRequest head;
-        /** What has come of a body; nothing is kept of it once the request is whole. */
+        /** The part of a body received so far; empty once the request is complete. */
         private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
 
         private final Deque<Request> queue = new ArrayDeque<>();
@@ -408,33 +419,39 @@
         private Request current;
         private String currentId;
         private boolean reading;
-        /** Its client waits to be told to send the body (RFC 9110, 10.1.1), and is told so in the request's turn. */
+        /**
+         * The client waits for 100 Continue before sending the body (RFC 9110, 10.1.1). It is sent when the request's
+         * turn comes.
+         */
         private boolean expectsContinue;
 
         private boolean hasAsked;
-        /** What is said to a request that is not read to its end, once all before it is answered. */
+        /** The status for a request that is not read to its end, sent when all requests before it are answered. */
         private HttpResponseStatus refusal;
-        /** No further request is taken from it. */
+        /** No further request is read from this connection. */
         private boolean closing;
-        /** Its last answer is given. */
+        /** The last answer has been sent. */
         private boolean ended;
-        /** What was read and is not answered yet is turned away, each with its answer. */
+        /** Requests that were read and not answered yet are refused, each with its answer. */
         private boolean refusing;
-        /** Since when it does not read what it is answered. */
+        /** Since when the client has not read its answers; {@code Long.MAX_VALUE} if it does. */
         private long stalledSinceUs = Long.MAX_VALUE;
-        /** Since when it has been of no use, and since when a request has been coming in. */
+        /** Since when the connection has been idle, and since when a request has been arriving. */
         private long sinceUs = clock.nowUs();
 
         private long askedSinceUs = Long.MAX_VALUE;
-        /** When bytes last came. */
+        /** When bytes last arrived. */
         private long cameUs;
 
-        /** Since when nothing has come: who writes slowly is not taken for one that has stopped half way. */
+        /**
+         * Since when nothing has arrived, so that a slow client is not mistaken for one that stopped in the middle of a
+         * request.
+         */
         private long stillSinceUs() {
             return Math.max(sinceUs, cameUs);
         }
 
-        /** Since when it counts as idle: one that was used has its whole time once more as the process begins to end. */
+        /** Start of the idle time. For a connection that was used, it starts anew when the process begins to stop. */
         private long idleSinceUs() {
             return hasAsked ? Math.max(sinceUs, restartSinceUs) : sinceUs;
         }
@@ -444,8 +461,8 @@
         }
 
         /**
-         * True if something that was sent behind the current request is, or may be, still to be answered. A client that
-         * said {@code Connection: close} means to send nothing behind it, and what is not read yet is left so.
+         * True if more requests behind the current one are waiting, or may be, for an answer. After {@code Connection:
+         * close} a client sends nothing more, and what is unread stays unread.
          */
         private boolean hasMore() {
             return !queue.isEmpty()
@@ -456,8 +473,8 @@
         }
 
         /**
-         * Reads what has come since the loop last looked at its sockets: a close over a request that lies unread would
-         * reset the connection. What comes after this look crosses the close, and is not taken on.
+         * Reads bytes that arrived since the event loop last polled its sockets, because closing a socket with unread
+         * bytes would reset the connection. A request that arrives after this crosses the close and is not accepted.
          */
         private void catchUp() {
             if (context.channel().isActive()
@@ -479,7 +496,7 @@
             return 2;
         }
 
-        /** Closes it at once, and no longer counts it from this moment: its end is told only after this pass. */
+        /** Closes the connection at once and stops counting it now; its close is reported only after this pass. */
         private void drop() {
             sessions.remove(this);
             context.close();
@@ -505,8 +522,8 @@
         }
 
         /**
-         * The client sends no more. One that is not answered yet has most likely given up, so that its message is not
-         * taken on; but it may have closed its sending side only, and is told so.
+         * Handles the client's end of input. A client without an answer has most likely given up, so its message is
+         * withdrawn; since it may have closed only its sending side, it still gets an answer.
          */
         @Override
         public void userEventTriggered(final ChannelHandlerContext ctx, final Object event) {
@@ -541,7 +558,7 @@
             return queue.size() < MOST_QUEUED && context.channel().isWritable();
         }
 
-        /** A client that does not read its answers is read no further until it does. */
+        /** Stops reading from a client that does not read its answers, until it does. */
         @Override
         public void channelWritabilityChanged(final ChannelHandlerContext ctx) {
             if (!ended) {
@@ -606,7 +623,10 @@
             }
         }
 
-        /** An interim answer keeps the order too: before an earlier request is answered it would count as that one's. */
+        /**
+         * An interim answer has to keep the order as well: sent before an earlier request is answered, it would be
+         * taken for that request's.
+         */
         private void sayContinue() {
             if (expectsContinue && current == null && queue.isEmpty() && !closing) {
                 expectsContinue = false;
@@ -615,7 +635,7 @@
             }
         }
 
-        /** A request has come whole: it takes its turn. */
+        /** Queues a request that has arrived completely. */
         private void complete() {
             reading = false;
             expectsContinue = false;
@@ -628,7 +648,7 @@
             next();
         }
 
-        /** Serves requests of one connection in turn, so that their answers keep their order. */
+        /** Serves the requests of one connection in order, so that the answers keep their order. */
         private void next() {
             final Channel channel = context.channel();
             while (current == null && !queue.isEmpty() && !ended && channel.isWritable()) {
@@ -644,14 +664,14 @@
                 sayContinue();
                 final boolean reads = queue.isEmpty() && channel.isWritable();
                 if (reads && !channel.config().isAutoRead() && askedSinceUs != Long.MAX_VALUE) {
-                    // Meanwhile it could not go on.
+                    // Reading was paused meanwhile, so the request gets its full time again.
                     askedSinceUs = clock.nowUs();
                 }
                 channel.config().setAutoRead(reads);
             }
         }
 
-        /** An answer is given: the next request has its turn, and what waited behind those is decoded. */
+        /** Continues after an answer with the next request, and decodes what was read but had to wait. */
         private void goOn() {
             next();
             decoder.decodeRest();
@@ -704,7 +724,8 @@
                 answer(HttpResponseStatus.NOT_FOUND, 0);
                 return;
             }
-            // One that has just ended, or was withdrawn, may have its call still out: nobody could tell the two apart.
+            // The call of a message that has just ended or was withdrawn may still be in flight, and the two could not
+            // be told apart.
             if (host.holds(id) || takenUntilUs.getOrDefault(id, 0L) > clock.nowUs()) {
                 answer(HttpResponseStatus.CONFLICT, 0);
                 return;
@@ -719,7 +740,8 @@
                         @Override
                         public void accepted() {
                             takenUntilUs.put(id, validUntilUs + TAKEN_US);
-                            // A client that never gets this counts on nothing: its message is withdrawn.
+                            // A client that never receives this answer does not count on it, so its message is
+                            // withdrawn.
                             answer(HttpResponseStatus.valueOf(ACCEPTED), 0).addListener(done -> {
                                 if (!done.isSuccess()) {
                                     host.withdraw(id);
@@ -740,7 +762,7 @@
         }
 
         private ChannelFuture answer(final HttpResponseStatus status, final long retryAfterUs) {
-            // Who asks for what cannot be had is not trusted with what it sends behind it.
+            // A client whose request is wrong is not trusted with what it sends after it.
             final boolean good = status.code() < HttpResponseStatus.BAD_REQUEST.code()
                     || status.code() == TOO_MANY
                     || status.code() == UNAVAILABLE
@@ -766,7 +788,7 @@
             return written;
         }
 
-        /** Turns away what cannot be read, once what was read before it is answered. */
+        /** Rejects a request that cannot be read, after all requests before it are answered. */
         private void reject(final HttpResponseStatus status) {
             refusal = status;
             closing = true;
@@ -782,13 +804,13 @@
             end(response(refusal));
         }
 
-        /** Gives the last answer of a connection. */
+        /** Sends the last answer of a connection. */
         private ChannelFuture end(final DefaultFullHttpResponse response) {
             response.headers().set(HttpHeaderNames.CONNECTION, "close");
             return end(context.writeAndFlush(response));
         }
 
-        /** Closes it where nothing is asked: one that never asked has no answer that a reset could overtake. */
+        /** Closes an idle connection. One that never sent a request has no answer that a reset could overtake. */
         private void closeIdle() {
             if (hasAsked) {
                 end(context.writeAndFlush(Unpooled.EMPTY_BUFFER));
@@ -820,23 +842,23 @@
         @Override
         public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
             if (!(cause instanceof IOException)) {
-                Log.failure("a client's connection", cause);
+                Log.failure("connection of a client", cause);
             }
             ctx.close();
         }
     }
 
     /**
-     * How long a message that is read now may still be delivered. Its time runs from when it was sent, and it may have
-     * waited to be read for nearly as long as a client waits for an answer: without a margin its end could be told too
-     * late, which loses it.
+     * Time for which a message read now may be delivered, us. The client's time-out runs from the moment of sending,
+     * and the message may have waited unread for nearly as long as a client waits for an answer. Without a margin its
+     * outcome could be reported too late, which would lose it.
      */
     static long lifeUs(final long timeoutMs, final long deadlineUs) {
         final long lifeUs = Math.min(timeoutMs, deadlineUs / US_PER_MS) * US_PER_MS;
         return lifeUs - Math.min(WAITED_US, lifeUs / 4);
     }
 
-    /** A whole number that is not negative, or -1. */
+    /** A non-negative integer, or -1 if the text is none. */
     private static long whole(final String text) {
         try {
             return text == null ? -1 : Math.max(-1, Long.parseLong(text.trim()));
@@ -845,7 +867,7 @@
         }
     }
 
-    /** The destination that a header of {@code name=value} pairs names, or -1. */
+    /** The destination in a header of {@code name=value} pairs, or -1. */
     private static long destination(final String text) {
         if (text != null) {
             for (final String pair : text.split("[,;]")) {
--- a/src/main/java/driftchute/node/Management.java
+++ b/src/main/java/driftchute/node/Management.java
@@ -26,17 +26,20 @@
 import java.util.function.Predicate;
 
 /**
- * The second address, for the operators: a connection carries one line, and gets one line that begins with OK or ERR.
- * It runs on a thread of its own: an answer may not wait for the event loop that serves messages, nor for callers that
- * send nothing.
+ * The management address for the operators: each connection carries one command line and gets one line that begins with
+ * OK or ERR. It has its own thread, so that an answer waits neither for the event loop that serves messages nor for
+ * callers that send nothing.
  */
 final class Management {
     private static final int MOST_LINE_BYTES = 256;
-    /** A caller that has not sent a whole line by then is told so. */
+    /** Time within which a caller must have sent a complete line. */
     private static final long CALL_MS = 5000;
 
     private static final long LINGER_MS = 500;
-    /** Callers at once, as a share of the descriptors, and at least; beyond that the one that waits longest goes. */
+    /**
+     * Maximum number of callers as a share of the descriptors, with a lower bound. Beyond it the caller that has waited
+     * longest is closed.
+     */
     private static final double SOCKET_SHARE = 0.05;
 
     private static final int LEAST_CALLERS = 8;
@@ -48,7 +51,10 @@
     private final int mostCallers;
     private final Set<Channel> callers = new LinkedHashSet<>();
 
-    /** {@code serves}: this process can serve; {@code listed}: the list has named that endpoint. On any thread. */
+    /**
+     * {@code serves}: whether this process can serve. {@code listed}: whether the list has named that endpoint. Both
+     * are called on this class's own thread.
+     */
     Management(final Config config, final Orders orders, final BooleanSupplier serves, final Predicate<String> listed) {
         this.orders = orders;
         this.serves = serves;
@@ -71,7 +77,7 @@
                 .bind(config.mgmt());
     }
 
-    /** Does what a line asks for, and says how it went. */
+    /** Executes a command line and returns the answer. */
     private String obey(final String line) {
         final String[] words = line.trim().split("\\s+");
         final boolean named = words[0].equals("set-down") || words[0].equals("set-up");
@@ -88,7 +94,7 @@
                 default -> "ERR unknown call";
             };
         } catch (final IOException e) {
-            Log.info("orders: cannot keep '" + line + "': " + e.getMessage());
+            Log.info("orders: cannot store '" + line + "': " + e.getMessage());
             return "ERR the order cannot be kept: " + e.getClass().getSimpleName();
         }
     }
@@ -111,7 +117,7 @@
         return "OK " + endpoint + " is used again";
     }
 
-    /** One that is out was listed once, even if that was before this process. */
+    /** A disabled endpoint was listed once, possibly before this process started. */
     private boolean isKnown(final String endpoint) {
         return listed.test(endpoint) || orders.standing().out().contains(endpoint);
     }
@@ -122,7 +128,7 @@
         return on ? "OK draining" : "OK serving";
     }
 
-    /** One caller's connection. */
+    /** The connection of one caller. */
     private final class Call extends SimpleChannelInboundHandler<ByteBuf> {
         private boolean answered;
 
@@ -142,7 +148,7 @@
 
         @Override
         protected void channelRead0(final ChannelHandlerContext ctx, final ByteBuf line) {
-            // What comes behind the one line is read away, lest a reset overtake the answer.
+            // Further input is read and discarded, because a reset could overtake the answer.
             if (!answered) {
                 answer(ctx, obey(line.toString(StandardCharsets.UTF_8)));
             }
@@ -176,7 +182,7 @@
                 return;
             }
             if (!(cause instanceof IOException)) {
-                Log.failure("a call on the second address", cause);
+                Log.failure("connection to the management address", cause);
             }
             ctx.close();
         }
--- a/src/main/java/driftchute/node/Notices.java
+++ b/src/main/java/driftchute/node/Notices.java
@@ -31,22 +31,21 @@
 import java.util.function.Consumer;
 
 /**
- * The notices of messages that were taken on and not delivered, on their way to the platform: one batch at a time over
- * a connection that is kept, and again until it is confirmed. Until then the journal owes them. All of it runs on the
- * event loop's thread.
+ * Sends the notices about accepted and undelivered messages to the platform: one batch at a time over a kept
+ * connection, repeated until confirmed. Until then the journal holds them. Runs on the event loop's thread.
  */
 final class Notices {
     private static final int CONNECT_MS = 1000;
     /**
-     * The platform answers at once; a longer silence says that this connection leads nowhere. Doubled with each, up to
-     * the most, for a platform or a machine that is slow.
+     * Bounds of the time-out for an answer. The platform normally answers at once, so a longer silence means that the
+     * connection is dead. Doubled with each failure for a platform or machine that is slow.
      */
     private static final long ANSWER_LEAST_MS = 100;
 
     private static final long ANSWER_MOST_MS = 1000;
     /**
-     * First and longest back-off: a notice is overdue 0.3 s after its message's time is up (PROTOCOL-irishead.md, The
-     * rules on sockets), so whoever can be reached again hears of it within that.
+     * First and longest back-off. A notice is overdue 0.3 s after its message's deadline (PROTOCOL-irishead.md, The
+     * rules on sockets), so it must arrive within that time once the platform is reachable again.
      */
     private static final long AGAIN_LEAST_MS = 50;
 
@@ -59,9 +58,9 @@
     private final EventLoop loop;
     private final Consumer<List<Held>> confirmation;
     private final ObjectMapper json = new ObjectMapper();
-    /** All that are owed, those of the batch included. */
+    /** All unconfirmed notices, including those of the batch. */
     private final Set<Held> owed = new LinkedHashSet<>();
-    /** Those that are out with the platform and not answered yet. */
+    /** Notices that were sent and are not answered yet. */
     private final List<Held> batch = new ArrayList<>();
 
     private InetSocketAddress address;
@@ -76,24 +75,24 @@
         this(address, loop, host::noticed);
     }
 
-    /** {@code confirmation} is told of those that the platform has heard. */
+    /** {@code confirmation} receives the notices that the platform has confirmed. */
     Notices(final InetSocketAddress address, final EventLoop loop, final Consumer<List<Held>> confirmation) {
         this.address = address;
         this.loop = loop;
         this.confirmation = confirmation;
     }
 
-    /** Owes a notice from now on; it goes out with the next flush. */
+    /** Adds a notice. It is sent with the next flush. */
     void add(final Held held) {
         owed.add(held);
     }
 
-    /** True when the platform has confirmed all of them. */
+    /** True if the platform has confirmed all notices. */
     boolean isEmpty() {
         return owed.isEmpty();
     }
 
-    /** Sends what is owed, unless a batch is out or rests after a failure. */
+    /** Sends the next batch, unless one is unanswered or a back-off is running. */
     void flush() {
         if (owed.isEmpty() || !batch.isEmpty() || again != null) {
             return;
@@ -108,7 +107,7 @@
         }
     }
 
-    /** From now on the platform is at another address; what the old one has not confirmed goes there. */
+    /** Switches to another address of the platform. Unconfirmed notices are sent there. */
     void move(final InetSocketAddress next) {
         if (next.equals(address)) {
             return;
@@ -124,12 +123,12 @@
         flush();
     }
 
-    /** Puts the next ones into the batch; the result is their text, a line each. */
+    /** Fills the batch and returns its text, one line per notice. */
     private String fill() {
         final StringBuilder text = new StringBuilder();
         for (final Held held : owed) {
             final String next = text(held);
-            // An id came in a header, whose characters take two bytes at most.
+            // An id arrived in a header, so its characters take at most two bytes each.
             if (batch.size() == most || !batch.isEmpty() && 2 * (text.length() + next.length()) >= MOST_BODY_BYTES) {
                 break;
             }
@@ -161,7 +160,7 @@
             flush();
             return;
         }
-        // One that the platform cannot read may not hold up the others: smaller batches, and these go last.
+        // A notice that the platform cannot parse must not block the others: use smaller batches and send these last.
         owed.removeAll(Set.copyOf(batch));
         owed.addAll(batch);
         final boolean divides = status == UNREADABLE && batch.size() > 1;
@@ -179,7 +178,7 @@
         failed();
     }
 
-    /** The batch was not confirmed, and its connection is of no use. */
+    /** The batch was not confirmed, and its connection is unusable. */
     private void failed() {
         rest();
         later();
@@ -235,7 +234,7 @@
                     .connect(address)
                     .addListener(done -> {
                         if (!done.isSuccess()) {
-                            // Where no descriptor was to be had, this is another thread.
+                            // If no descriptor was available, this is another thread.
                             loop.execute(this::lost);
                         } else if (line == this) {
                             post(body);
@@ -259,13 +258,13 @@
         }
 
         private void close() {
-            // One for which there was no descriptor was never open, and has no event loop to close it on.
+            // A channel for which no descriptor was available was never open and has no event loop to close it.
             if (channel.isOpen()) {
                 channel.close();
             }
         }
 
-        /** Only the connection in use counts, and only what answers a batch. */
+        /** Only the current connection counts, and only while a batch is unanswered. */
         private void lost() {
             if (line != this) {
                 return;
@@ -297,7 +296,7 @@
         @Override
         public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
             if (!(cause instanceof IOException)) {
-                Log.failure("notices to the platform", cause);
+                Log.failure("connection to the platform", cause);
             }
             ctx.close();
         }
--- a/src/main/java/driftchute/node/RequestDecoder.java
+++ b/src/main/java/driftchute/node/RequestDecoder.java
@@ -11,28 +11,29 @@
 import java.util.List;
 
 /**
- * Reads requests strictly. The library forgives a length beside a transfer coding by dropping one of them; but two
- * readers that drop different ones see different requests, and a request could be hidden in another's body.
+ * A strict request decoder. Netty accepts a request with both a length and a transfer coding by dropping one of them.
+ * Two readers that drop different ones see different requests, so that a request could be smuggled in the body of
+ * another.
  */
 final class RequestDecoder extends HttpRequestDecoder {
     private static final int MOST_LINE_BYTES = 2048;
     private static final int MOST_HEAD_BYTES = 8192;
 
-    /** What the connection is told, and says, while requests come in. */
+    /** Callbacks of the connection while requests arrive. */
     interface Flow {
-        /** Something has been read. */
+        /** Bytes have arrived. */
         void bytesCame();
 
-        /** A request's first byte is there. */
+        /** The first byte of a request has arrived. */
         void begun();
 
-        /** False while what has been read already is to wait undecoded. */
+        /** False while bytes already read must wait undecoded. */
         boolean mayGoOn();
     }
 
     private final Flow flow;
     private ChannelHandlerContext context;
-    /** A request's first byte is there, and not yet its last. */
+    /** A request has begun and is not complete. */
     private boolean isMidway;
 
     private boolean hasFilledItsBuffer;
@@ -62,7 +63,7 @@
     @Override
     protected void decode(final ChannelHandlerContext ctx, final ByteBuf in, final List<Object> out) throws Exception {
         if (!isMidway) {
-            // Empty lines in front of a request are no part of one (RFC 9112, 2.2).
+            // Empty lines before a request are not part of it (RFC 9112, 2.2).
             in.skipBytes(blankBytes(in));
             if (!in.isReadable() || !flow.mayGoOn()) {
                 return;
@@ -79,7 +80,7 @@
         return end < 0 ? in.readableBytes() : end - in.readerIndex();
     }
 
-    /** True if something is left of what was read last, or is likely to have come with it. */
+    /** True if bytes of the last read are left, or more bytes have probably arrived with it. */
     boolean mayHaveMore() {
         return hasFilledItsBuffer || !isRemoved() && internalBuffer().readableBytes() > blankBytes(internalBuffer());
     }
@@ -88,7 +89,7 @@
         return context.isRemoved();
     }
 
-    /** Decodes what was read and had to wait. */
+    /** Decodes bytes that were read and had to wait. */
     void decodeRest() {
         if (!isRemoved() && actualReadableBytes() > 0) {
             try {
@@ -101,10 +102,10 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(final HttpMessage message) {
-        throw new IllegalArgumentException("a length and a transfer coding");
+        throw new IllegalArgumentException("both a content length and a transfer coding");
     }
 
-    /** True where the body's end is told by the one coding that is understood here, or by a length alone. */
+    /** True if the body is framed by a length alone or by the chunked coding alone. */
     static boolean isFramedPlainly(final HttpMessage message) {
         final var codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return codings.isEmpty()
