--- a/src/main/java/driftchute/node/CallChannel.java
+++ b/src/main/java/driftchute/node/CallChannel.java
@@ -6,26 +6,26 @@
 import java.nio.ByteBuffer;
 
 /**
- * A connection for calls that can be asked for a stale check. The event loop learns of what has come only in its next
- * turn; a call that is written in this one could meet the endpoint's close, or bytes that are no answer to it.
+ * A connection for calls that supports a stale check. The event loop notices what has arrived only in its next turn; a
+ * call written in this turn could meet the endpoint's close, or bytes that do not answer it.
  */
 final class CallChannel extends NioSocketChannel {
     /**
-     * True if the other side has closed the connection, or bytes of it lie unread: then the connection is of no more use,
-     * for one of them may be consumed by this. Only before the last byte of a call; on the event loop's thread.
+     * True if the peer has closed the connection or unread bytes have arrived. The connection is unusable then, because
+     * this check may consume one byte. Only before the last byte of a call, on the event loop's thread.
      */
     boolean isStale() {
         try {
             return !isActive() || javaChannel().read(ByteBuffer.allocate(1)) != 0;
         } catch (final IOException e) {
-            // A reset lay there.
+            // A reset had arrived.
             return true;
         }
     }
 
     /**
-     * Reads what has come by now, and lets it be handled, before the loop's next turn would. On the event loop's thread,
-     * and not while this connection is being read.
+     * Reads and handles what has arrived before the event loop's next turn would. Only on the event loop's thread, and
+     * not while this connection is being read.
      */
     void readNow() {
         if (isActive()) {
@@ -34,14 +34,14 @@
     }
 
     /**
-     * Writes a call, or what is left of it, unless the other side has closed or spoken before its last byte: that is no
-     * answer to it (PROTOCOL-irishead.md: an endpoint starts a call once its last byte has arrived). Such a write fails,
-     * and closes the connection.
+     * Writes a call, or the rest of it, unless the peer has closed or sent bytes before the call's last byte, which
+     * cannot be an answer (PROTOCOL-irishead.md: an endpoint starts a call once its last byte has arrived). In that
+     * case the write fails and the connection is closed.
      */
     @Override
     protected void doWrite(final ChannelOutboundBuffer call) throws Exception {
         if (isStale()) {
-            throw new IOException("closed, or spoken on, before the last byte of a call");
+            throw new IOException("the peer closed the connection or sent bytes before the last byte of the call");
         }
         super.doWrite(call);
     }
--- a/src/main/java/driftchute/node/Discovery.java
+++ b/src/main/java/driftchute/node/Discovery.java
@@ -15,14 +15,14 @@
 import java.util.stream.Collectors;
 import java.util.stream.StreamSupport;
 
-/** The list of endpoints: the copy from the configuration at first, then what the watches on its changes tell. */
+/** The list of endpoints: at first a stored or configured copy, then what the watches report. */
 final class Discovery implements Watches.Listener {
-    /** While the watch has been heard within this, what it does not name does not exist. */
+    /** Time since the last news within which an unlisted destination is considered not to exist. */
     private static final long FRESH_US = 10_000_000;
-    /** How long a destination without an endpoint is still reckoned with. */
+    /** Time for which a destination without endpoints is remembered. */
     private static final long VACANT_US = 120_000_000;
 
-    /** What a list says of one endpoint; one that is gone has no address. */
+    /** A list entry. {@code dial} is null for an endpoint that is gone. */
     private record Entry(Courier.Endpoint endpoint, InetSocketAddress dial) {}
 
     private final Config config;
@@ -30,14 +30,14 @@
     private final Host host;
     private final Watches watches;
     /**
-     * All that the list has ever named, as it last did: what is listed again is the same endpoint, with its waits and
-     * outages. The second address asks on a thread of its own.
+     * The latest entry of every endpoint that was ever listed. An endpoint that is listed again is the same one, with
+     * its waits and outages. Also read on the management thread.
      */
     private final Map<String, Courier.Endpoint> named = new ConcurrentHashMap<>();
 
     private final Map<Long, Courier.Endpoint> known = new HashMap<>();
     private long nextId = 1;
-    /** When each destination was last seen to have an endpoint: between two endpoints it has none for a while. */
+    /** When each destination last had an endpoint. It may have none for a while between two endpoints. */
     private final Map<Long, Long> destinations = new HashMap<>();
 
     Discovery(final Config config, final EventLoop loop, final Clock clock, final Host host) {
@@ -47,7 +47,7 @@
         this.watches = new Watches(config.discovery(), loop, clock::nowUs, config.seed(), this);
     }
 
-    /** Begins with the list as this courier last had it; it may be old. */
+    /** Starts with the list that this courier last had, which may be outdated. */
     void restore(final JsonNode list) {
         if (list.path("hosts").isArray()) {
             apply(list, Courier.Update.RESTORED, config.discovery());
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Messages that one call to an endpoint may carry. */
+    /** Maximum number of messages in one call to an endpoint. */
     int messagesPerCall(final long endpoint) {
         final Courier.Endpoint entry = known.get(endpoint);
         return entry == null || entry.kind() < 0
@@ -64,19 +64,19 @@
     }
 
     /**
-     * False for a destination that the list does not name. While the list is old that is not known of any: refusing
-     * one that was added meanwhile would be wrong, and what has no endpoint in time is refused later.
+     * False for a destination that is not listed. While the list may be outdated, every destination counts as known:
+     * refusing one that was added meanwhile would be wrong, and a message without an endpoint is refused later.
      */
     boolean knows(final long destination) {
         return destinations.containsKey(destination) || clock.nowUs() - watches.freshUs() > FRESH_US;
     }
 
-    /** True if the list has ever named that endpoint to this process. On any thread. */
+    /** True if the list has ever named that endpoint to this process. Thread-safe. */
     boolean hasListed(final String name) {
         return named.containsKey(name);
     }
 
-    /** The endpoints of these names that are in the list now. */
+    /** The ids of those of the named endpoints that are listed now. */
     Set<Long> idsOf(final Set<String> names) {
         return names.stream()
                 .map(named::get)
@@ -86,7 +86,7 @@
                 .collect(Collectors.toSet());
     }
 
-    /** True if the list names an endpoint of that destination now. */
+    /** True if an endpoint of that destination is listed now. */
     boolean hasEndpoint(final long destination) {
         return known.values().stream().anyMatch(entry -> entry.destination() == destination);
     }
@@ -96,12 +96,12 @@
         return entry == null ? "" : entry.zone();
     }
 
-    /** Asks for changes from now on. */
+    /** Subscribes to changes of the list. */
     void follow() {
         watches.follow();
     }
 
-    /** From now on the list is at another address, whose versions are numbered in their own way. */
+    /** Switches to another list service, which numbers its versions independently. */
     void move(final InetSocketAddress next) {
         watches.move(next);
     }
@@ -123,10 +123,10 @@
 
     private void apply(final JsonNode list, final Courier.Update update, final InetSocketAddress from) {
         if (update != Courier.Update.CHANGES && !list.path("hosts").isArray()) {
-            throw new IllegalArgumentException("a whole list without its hosts");
+            throw new IllegalArgumentException("a complete list without hosts");
         }
         final List<Entry> entries = new ArrayList<>();
-        // All of them first: one that cannot be read leaves the list as it was.
+        // Parses all entries first, so that an invalid one leaves the list unchanged.
         list.path("hosts").forEach(node -> entries.add(entry(node)));
         final List<Long> gone = update == Courier.Update.CHANGES ? new ArrayList<>() : new ArrayList<>(known.keySet());
         for (final Entry entry : entries) {
@@ -164,7 +164,7 @@
         destinations.values().removeIf(seenUs -> seenUs < nowUs - VACANT_US);
     }
 
-    /** What a list says of endpoints that want nothing new, for the log: names with their health. */
+    /** Names and health of the listed endpoints that accept nothing new, for the log. */
     private static String unready(final JsonNode list) {
         return StreamSupport.stream(list.path("hosts").spliterator(), false)
                 .filter(node -> !node.path("health").asText().equals("Ready"))
--- a/src/main/java/driftchute/node/Endpoints.java
+++ b/src/main/java/driftchute/node/Endpoints.java
@@ -49,17 +49,20 @@
 import java.util.regex.Pattern;
 
 /**
- * Calls to endpoints, with one message or several, over connections that are kept and carry one call at a time. It
- * tells the {@link Host} how each message fared, above all whether it can have run: that turns on whether the call's
- * last byte was written before the connection broke.
+ * Makes calls to endpoints, with one or several messages each, over kept connections that carry one call at a time.
+ * Reports to the {@link Host} what became of each message, in particular whether it may have been executed: this
+ * depends on whether the call's last byte was written before the connection broke.
  */
 final class Endpoints {
     private static final long US_PER_MS = 1000;
     private static final double US_PER_SECOND = 1_000_000;
     private static final int MOST_BODY_BYTES = 1 << 16;
-    /** Share of the endpoints' own limit after which an idle connection is closed: a request may not cross it. */
+    /**
+     * Share of the endpoints' own idle time-out after which an idle connection is closed, so that no request crosses
+     * the endpoint's close.
+     */
     private static final double IDLE_SHARE = 0.8;
-    /** Share of the descriptors for connections to endpoints; the rest is for clients and the process. */
+    /** Share of the descriptors for connections to endpoints. The rest is for clients and the process. */
     private static final double SOCKET_SHARE = 0.4;
 
     private static final int OK = 200;
@@ -70,20 +73,29 @@
     private static final int UNAVAILABLE = 503;
     private static final int NO_MORE = 504;
 
-    /** An answer that has begun comes whole within this, ms: its sender has it all. */
+    /**
+     * Maximum time from an answer's first byte to its last, ms. The endpoint has the whole answer when it begins to
+     * send.
+     */
     private static final long ANSWER_MS = 500;
-    /** What belongs to no call may still come right behind an answer; a connection rests so long before its next. */
+    /**
+     * Rest of a connection between an answer and its next call, us. Bytes that belong to no call may still arrive right
+     * after an answer.
+     */
     private static final long REST_US = 5_000;
-    /** Before a call asks again for a descriptor, or whether it may be written. */
+    /** Delay before a call tries again to get a descriptor or permission to be written, us. */
     private static final long ROOM_US = 20_000;
-    /** A number as an answer may tell it: no sign, no exponent, no word. */
+    /** A number in an answer: no sign, exponent or word. */
     private static final Pattern NUMBER = Pattern.compile("\\d{1,12}(\\.\\d{1,18})?");
-    /** No wait or limit is believed beyond these: an hour and a million calls a second. */
+    /**
+     * Upper bounds for reported waits (an hour) and limits (a million calls per second). Higher values are not
+     * believed.
+     */
     private static final double MOST_WAIT_S = 3600;
 
     private static final double MOST_RATE = 1e6;
     private static final double MOST_SHARE = 2;
-    /** The state of a message that an answer does not name, or names with two states. */
+    /** State of a message that an answer does not mention, or mentions with two states. */
     private static final String UNREADABLE = "";
 
     private final Clock clock;
@@ -98,7 +110,7 @@
     private int connections;
     private boolean keepsNone;
 
-    /** How a message fared in a call. {@code waitUs}: what the answer told to wait, or 0. */
+    /** The outcome of a message's part in a call. {@code waitUs}: the wait that the answer asked for, or 0. */
     record Answer(Result result, boolean over, long waitUs, Courier.Allowance allowance) {}
 
     Endpoints(final Config config, final EventLoop loop, final Clock clock, final Host host) {
@@ -130,9 +142,9 @@
         private final long destination;
         private final boolean apart;
         private InetSocketAddress address;
-        /** Idle ones, the one used last at the end. */
+        /** Idle connections, the most recently used last. */
         private final Deque<Reader> idle = new ArrayDeque<>();
-        /** It drains or is gone: what is not written to it yet goes elsewhere, and no connection is kept. */
+        /** The endpoint drains or is gone: unwritten calls go elsewhere, and no connection is kept. */
         private boolean closing;
 
         Pool(final Courier.Endpoint entry, final boolean apart, final InetSocketAddress address) {
@@ -142,15 +154,18 @@
             this.address = address;
         }
 
-        /** True if a wait told there holds for the other one; what leaves the list and comes back is the same endpoint. */
+        /**
+         * True if a wait requested there also holds for the other pool. An endpoint that is listed again counts as the
+         * same endpoint.
+         */
         private boolean binds(final Pool other) {
             return apart ? endpoint == other.endpoint : destination == other.destination;
         }
     }
 
     /**
-     * One call: the messages in it, and how far it has come. They share its fate, so it ends with the time of the first of
-     * them: what is answered after that came too late, for all of them.
+     * A call, with its messages and progress. It ends with the earliest deadline of its messages: an answer after that
+     * is too late for all of them.
      */
     static final class Call {
         private final Pool pool;
@@ -158,7 +173,7 @@
         private final long sentUs;
         private final long deadlineUs;
         private final List<Host.Parcel> parcels;
-        /** What falls due for it: its time-outs, and the end of a connection's rest. */
+        /** Timers of the call: time-outs, and the end of a connection's rest. */
         private final List<Future<?>> timers = new ArrayList<>();
 
         private Channel channel;
@@ -195,7 +210,7 @@
             return parcels;
         }
 
-        /** True if nothing in it has ever been called, as far as is recorded: it loses nothing but time by waiting. */
+        /** True if none of its messages has a recorded attempt, so that waiting costs nothing but time. */
         private boolean isUntried() {
             return parcels.stream()
                     .map(parcel -> parcel.open().held)
@@ -207,7 +222,7 @@
         }
     }
 
-    /** The list names an endpoint, or its address or condition has changed. */
+    /** The list named an endpoint, or changed its address or condition. */
     void listed(final Courier.Endpoint entry, final boolean apart, final InetSocketAddress address) {
         final Pool pool = pools.computeIfAbsent(entry.id(), unused -> new Pool(entry, apart, address));
         if (!pool.address.equals(address)) {
@@ -220,7 +235,7 @@
         }
     }
 
-    /** The list names an endpoint no more. */
+    /** The list no longer names an endpoint. */
     void removed(final long endpoint) {
         final Pool pool = pools.get(endpoint);
         if (pool != null) {
@@ -231,8 +246,8 @@
     }
 
     /**
-     * An endpoint wants nothing new, or is elsewhere: its idle connections serve nothing, and what is not written to it
-     * yet may not go. A connection may take far longer to come up than the grace of a drain (PROTOCOL-irishead.md,
+     * Closes an endpoint's idle connections and gives back its unwritten calls, because it accepts nothing new or has
+     * moved. A connection may take far longer to come up than the grace period of a drain (PROTOCOL-irishead.md,
      * Figures: a send runs from its first byte).
      */
     void bar(final long endpoint) {
@@ -247,7 +262,10 @@
         }
     }
 
-    /** Closes connections before the endpoint does: a request that crosses its close may have run, or not. */
+    /**
+     * Closes connections before the endpoint does. A request that crosses the endpoint's close may have been executed
+     * or not.
+     */
     private void closeOld() {
         final long beforeUs = clock.nowUs() - idleUs;
         pools.values()
@@ -256,7 +274,7 @@
                         .forEach(Reader::close));
     }
 
-    /** Nothing more is begun here: no connection is kept from now on. */
+    /** Closes all idle connections, and from now on keeps none, because no more calls will begin here. */
     void closeAllIdle() {
         keepsNone = true;
         pools.values().forEach(pool -> List.copyOf(pool.idle).forEach(Reader::close));
@@ -276,7 +294,7 @@
 
     // ---------------------------------------------------------------- calls
 
-    /** A call that has not begun; the journal comes first. */
+    /** Creates a call that has not begun, so that it can be journaled first. */
     Call prepare(final long endpoint, final List<Host.Parcel> parcels) {
         return new Call(pools.get(endpoint), endpoint, parcels, clock.nowUs());
     }
@@ -292,19 +310,21 @@
         dispatch(call);
     }
 
-    /** Runs something for a call, unless the call ends first: then nothing of it is kept. */
+    /** Schedules an action for a call. It is cancelled when the call ends. */
     private void later(final Call call, final long delayUs, final Runnable action) {
         call.timers.add(loop.schedule(action, delayUs, TimeUnit.MICROSECONDS));
     }
 
-    /** Forgets a call; false if it was over already. */
+    /** Removes a call. Returns false if it had already ended. */
     private boolean remove(final Call call) {
         call.timers.forEach(timer -> timer.cancel(false));
         call.timers.clear();
         return calls.remove(call);
     }
 
-    /** Over the idle connection used last that has had its rest; one that needs a little more is waited for. */
+    /**
+     * Uses the most recently used idle connection that has rested; waits if one needs a little longer, else connects.
+     */
     private void dispatch(final Call call) {
         if (!calls.contains(call)) {
             return;
@@ -341,7 +361,8 @@
         }
         final ChannelFuture connecting = bootstrap.connect(call.pool.address);
         if (!connecting.channel().isRegistered()) {
-            // The system has no descriptor left. This future is told on a thread of its own, and its channel is none.
+            // No descriptor is available. This future is completed on another thread, and its channel was never
+            // registered.
             closeLongestIdle();
             waitForRoom(call);
             return;
@@ -363,8 +384,8 @@
     }
 
     /**
-     * A call for which no descriptor is free, or that may not be written now, comes again, for as long as a connection may
-     * take to come up: not sent, each of its messages would lose one of its attempts.
+     * Retries a call for which no descriptor is available, or that may not be written now, for at most the connect
+     * time-out. Otherwise each of its messages would lose an attempt without being sent.
      */
     private void waitForRoom(final Call call) {
         if (clock.nowUs() + ROOM_US < call.sentUs + connectTimeoutUs) {
@@ -375,12 +396,12 @@
     }
 
     /**
-     * Ends a call from our side. Its connection is closed before the outcome is told, so that no further attempt
-     * of a message can meet this one.
+     * Ends a call from this side. Its connection is closed before the outcome is reported, so that no further attempt
+     * of a message can coincide with this one.
      */
     void abandon(final Call call, final Result result) {
         if (call.written && calls.contains(call)) {
-            // Its answer may lie there: closed unread, it would take along a delivery, or a wait that binds.
+            // The answer may have arrived unread: closing now would lose a delivery, or a wait that must be respected.
             call.reader.readNow();
         }
         final boolean known = remove(call);
@@ -400,7 +421,7 @@
         tell(call, new Answer(sure, false, waitUs, null));
     }
 
-    /** What gave up a call that was never written whole cannot have run. */
+    /** Result of giving up a call that was never completely written: it cannot have been executed. */
     private static Result neverWritten(final Result result) {
         return result == Result.CANCELLED ? Result.NOT_SENT : Result.NO_CONNECTION;
     }
@@ -409,12 +430,12 @@
         call.parcels.forEach(parcel -> host.outcome(parcel, call, answer));
     }
 
-    /** An earlier process was told a wait there: what is not written yet may not go. */
+    /** A predecessor process was asked to wait there: unwritten calls may not be sent. */
     void holdBack(final long destination) {
         abandonUnwritten(call -> !call.pool.apart && call.pool.destination == destination);
     }
 
-    /** A call's answer told a wait, if above 0: what is on its way there, and not written yet, may not go. */
+    /** If a call's answer asked for a wait (above 0), unwritten calls that it applies to may not be sent. */
     private void told(final Call call, final long waitUs) {
         if (waitUs > 0) {
             host.waitTold(call.pool.destination, String.valueOf(call.pool.address), waitUs);
@@ -427,8 +448,8 @@
     }
 
     /**
-     * Reads what has come for the calls that are out there: decisions take time, in which an answer may have told a wait
-     * that holds for a call which is about to be written.
+     * Reads what has arrived for calls in flight there. Decisions take time, in which an answer may have asked for a
+     * wait that applies to a call about to be written.
      */
     private void hear(final Pool pool) {
         List.copyOf(calls).stream()
@@ -436,17 +457,17 @@
                 .forEach(call -> call.reader.readNow());
     }
 
-    /** True while calls are out. */
+    /** True while calls are in flight. */
     boolean isCalling() {
         return !calls.isEmpty();
     }
 
-    /** Ends every call: one that is written may have run. */
+    /** Ends all calls. Those that were written may have been executed. */
     void abandonAll() {
         List.copyOf(calls).forEach(call -> abandon(call, Result.CANCELLED));
     }
 
-    /** Ends every call that is not written: none of it has run, and its messages are free to go again. */
+    /** Ends all unwritten calls. None of them was executed, so their messages may be sent again. */
     void giveBackUnwritten() {
         abandonUnwritten(call -> true);
     }
@@ -459,18 +480,18 @@
 
     // ---------------------------------------------------------------- one connection
 
-    /** Reads the answers of one connection. */
+    /** One connection: writes calls and reads their answers. */
     private final class Reader extends SimpleChannelInboundHandler<HttpObject> implements AnswerDecoder.Listener {
         private ChannelHandlerContext context;
         private Call call;
         private long idleSinceUs;
-        /** The answer's first line, as soon as it has come; its head, once that has. */
+        /** The status line of the answer as soon as it has arrived, and its complete head. */
         private HttpResponse line;
 
         private HttpResponse head;
         private boolean keep;
         private ByteArrayOutputStream body = new ByteArrayOutputStream();
-        /** When an answer that has begun is given up. */
+        /** Time-out of an answer that has begun. */
         private Future<?> wholeBy;
 
         @Override
@@ -480,7 +501,8 @@
 
         private void write(final Call next) {
             hear(next.pool);
-            // A turn reads its sockets first: the timer that ends the call may be due as well.
+            // The event loop reads its sockets before it runs timers, so the timer that ends this call may be due as
+            // well.
             final boolean late = next.deadlineUs <= clock.nowUs();
             if (late || !calls.contains(next) || !host.mayWrite(next)) {
                 if (!late && calls.contains(next) && next.isUntried()) {
@@ -488,7 +510,7 @@
                     waitForRoom(next);
                     return;
                 }
-                // The connection has not served: nothing of it is kept.
+                // The connection was not used, so it is not kept.
                 context.close();
                 loop.execute(() -> abandon(next, late ? Result.TIMED_OUT : Result.NOT_SENT));
                 return;
@@ -528,7 +550,7 @@
         @Override
         protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
             if (call == null || part.decoderResult().isFailure()) {
-                // Bytes that answer nothing, or nothing that can be read: this connection cannot be trusted.
+                // Bytes that belong to no call or cannot be parsed: this connection cannot be trusted.
                 broken(Result.ERROR);
                 return;
             }
@@ -562,7 +584,7 @@
         @Override
         public void begun() {
             if (call == null || !call.written) {
-                // It answers no call, or comes before its call: it belongs to an earlier one.
+                // These bytes answer no call, or precede their call, so they belong to an earlier one.
                 broken(Result.RESET);
             } else if (wholeBy == null) {
                 wholeBy = loop.schedule(() -> broken(Result.ERROR), ANSWER_MS, TimeUnit.MILLISECONDS);
@@ -581,7 +603,9 @@
             }
         }
 
-        /** True if the answer to this call says so in its first line; for several messages only all of it tells. */
+        /**
+         * True if the status line of the answer shows delivery. For several messages only the complete answer tells.
+         */
         private boolean isDelivered(final Call of) {
             return of == call
                     && line != null
@@ -591,12 +615,16 @@
                     && line.protocolVersion().majorVersion() == 1;
         }
 
-        /** The wait in a call's answer, if its head has come whole: it binds whatever becomes of the rest. */
+        /**
+         * The wait in a call's answer if its head is complete. It applies whatever happens to the rest of the answer.
+         */
         private long waitOf(final Call of) {
             return of == call && head != null ? waitUs(head) : 0;
         }
 
-        /** What a delivery tells whose answer was cut off: waits and reports only if its head came whole. */
+        /**
+         * The outcome of a delivery whose answer was cut off. Waits and reports are used only if the head is complete.
+         */
         private Answer delivered() {
             return head == null ? new Answer(Result.DELIVERED, true, 0, null) : answer(head, waitUs(head));
         }
@@ -634,8 +662,9 @@
         }
 
         /**
-         * The connection has ended, or is of no more use. An answer that cannot be read is an answer all the same:
-         * the destination is there and its work is done, so that counts as an error and not as a reset.
+         * Handles the end of the connection, or a failure that makes it unusable. An answer that cannot be parsed is
+         * still an answer: the destination is running and has done its work, so this counts as an error and not as a
+         * reset.
          */
         private void broken(final Result spoilt) {
             stopWaiting();
@@ -657,8 +686,9 @@
         }
 
         /**
-         * Several messages' ends, each with its state; one that is not named may have run. So may what was accepted when
-         * the time of one of them was up: the call was to be given up by then, and is not counted as answered.
+         * Reports the outcome of each of several messages. One that the answer does not mention may have been executed.
+         * The same holds for messages accepted after the deadline of one of them: the call should have been given up by
+         * then and does not count as answered.
          */
         private void tellEach(final Call done, final Answer all) {
             final Map<String, String> states = new HashMap<>();
@@ -670,7 +700,7 @@
                             (one, other) -> one.equals(other) ? one : UNREADABLE);
                 }
             } catch (final IOException e) {
-                // Spoilt: each of them may have run.
+                // The answer is damaged: each message may have been executed.
                 states.clear();
             }
             final long nowUs = clock.nowUs();
@@ -762,13 +792,13 @@
         };
     }
 
-    /** The wait that an answer tells: seconds, with decimals. One that cannot be read is none. */
+    /** The wait that an answer asks for, in seconds with decimals, as us; 0 if there is none or it cannot be parsed. */
     private static long waitUs(final HttpResponse head) {
         final double seconds = number(head.headers().get(HttpHeaderNames.RETRY_AFTER));
         return seconds >= 0 ? (long) Math.ceil(Math.min(seconds, MOST_WAIT_S) * US_PER_SECOND) : 0;
     }
 
-    /** What a destination told of its limit; null if it told nothing, or nothing that can be read. */
+    /** The limit that a destination reported; null if it reported none, or none that can be parsed. */
     private static Courier.Allowance allowance(final String report) {
         if (report == null) {
             return null;
@@ -783,13 +813,13 @@
                 callsPerSecond = number(value);
             }
         }
-        // A little over one is noise; far over it is nonsense.
+        // A share slightly above one is noise; far above it is invalid.
         final boolean whole =
                 shareLeft >= 0 && shareLeft <= MOST_SHARE && callsPerSecond >= 0 && callsPerSecond <= MOST_RATE;
         return whole ? new Courier.Allowance(Math.min(1, shareLeft), callsPerSecond) : null;
     }
 
-    /** A number that an answer tells, or -1 if it tells none. */
+    /** A number in an answer, or -1 if there is none. */
     private static double number(final String text) {
         return text != null && NUMBER.matcher(text.trim()).matches() ? Double.parseDouble(text.trim()) : -1;
     }
--- a/src/main/java/driftchute/node/KnownList.java
+++ b/src/main/java/driftchute/node/KnownList.java
@@ -14,26 +14,25 @@
 import java.util.Map;
 
 /**
- * The list of endpoints as this courier was last told it, in a small file of the folder that outlasts the process: what
- * discovery has told counts as told to the courier, whichever of its processes heard it (PROTOCOL-irishead.md,
- * Discovery), and it may be silent when the next one asks. Only the process that serves writes the file. All of it runs
- * on the event loop's thread.
+ * Stores the list of endpoints in a small file of the state folder. What discovery has reported counts as reported to
+ * the courier, whichever of its processes received it (PROTOCOL-irishead.md, Discovery), and discovery may be
+ * unreachable when the next process starts. Only the serving process writes the file. Runs on the event loop's thread.
  */
 final class KnownList {
     private static final String FILE = "list";
     private static final String NEXT_FILE = "list.next";
-    /** Share of the disk that the file may take; twice that while it is replaced. */
+    /** Share of the disk that the file may use; twice that while it is replaced. */
     private static final double DISK_SHARE = 0.05;
 
     private final Path folder;
     private final long mostBytes;
     private final ObjectMapper json = new ObjectMapper();
-    /** Entries by name, as they were last told; none of them is gone. */
+    /** The listed entries by endpoint name, without those that are gone. */
     private final Map<String, JsonNode> hosts = new LinkedHashMap<>();
 
     private long version;
     private String from = "";
-    /** Discovery has told something, to this process or to one whose list it took over. */
+    /** Discovery has reported a list, to this process or to one whose list was taken over. */
     private boolean told;
 
     private boolean keeps;
@@ -43,7 +42,7 @@
         this.mostBytes = (long) (DISK_SHARE * diskBytes);
     }
 
-    /** A list that can be read has come, from that address of discovery, or from the configuration. */
+    /** A valid list or change arrived from discovery at that address, or from the configuration. */
     void told(final JsonNode list, final Courier.Update update, final InetSocketAddress at) {
         if (update != Courier.Update.CHANGES) {
             hosts.clear();
@@ -61,24 +60,24 @@
         write();
     }
 
-    /** This process serves from now on, and so it keeps the list for the next one. */
+    /** Starts storing the list: this process serves from now on. */
     void keep() {
         keeps = true;
         write();
     }
 
-    /** Another process serves: the file is that one's. */
+    /** Stops storing the list: another process serves, and the file is its own. */
     void leave() {
         keeps = false;
     }
 
-    /** What an earlier process was told by discovery at that address, if it is newer than that list; else that list. */
+    /** The stored list from discovery at that address if it is newer than {@code known}, otherwise {@code known}. */
     JsonNode newest(final JsonNode known, final InetSocketAddress at) {
         final JsonNode kept = read(at);
         return kept != null && kept.path("seq").asLong() > known.path("seq").asLong() ? kept : known;
     }
 
-    /** What an earlier process was told by discovery at that address, if it is newer than what this one was; or null. */
+    /** The stored list from discovery at that address if it is newer than this process's list, otherwise null. */
     JsonNode newer(final InetSocketAddress at) {
         final JsonNode kept = read(at);
         return kept != null && (!text(at).equals(from) || kept.path("seq").asLong() > version) ? kept : null;
@@ -89,14 +88,14 @@
         try {
             if (Files.exists(file)) {
                 final JsonNode kept = json.readTree(Files.readAllBytes(file));
-                // Each address numbers its versions in its own way.
+                // Each address numbers its versions independently.
                 final boolean same = kept.path("from").asText().equals(text(at))
                         && kept.path("hosts").isArray();
                 told |= same;
                 return same ? kept : null;
             }
         } catch (final IOException e) {
-            Log.info("list: cannot read the one that was kept: " + e.getMessage());
+            Log.info("list: cannot read the stored list: " + e.getMessage());
         }
         return null;
     }
@@ -113,13 +112,13 @@
             final byte[] bytes = json.writeValueAsBytes(all);
             if (bytes.length > mostBytes) {
                 Files.deleteIfExists(folder.resolve(FILE));
-                throw new IOException(bytes.length + " bytes of " + mostBytes + " at most");
+                throw new IOException(bytes.length + " bytes exceed the maximum of " + mostBytes);
             }
             final Path fresh = folder.resolve(NEXT_FILE);
             Files.write(fresh, bytes);
             Files.move(fresh, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE);
         } catch (final IOException e) {
-            Log.info("list: cannot be kept for the next process: " + e.getMessage());
+            Log.info("list: cannot be stored: " + e.getMessage());
         }
     }
 
--- a/src/main/java/driftchute/node/Watches.java
+++ b/src/main/java/driftchute/node/Watches.java
@@ -26,70 +26,82 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keeps one question for the changes of the list standing at all times: a watch that speaks, or the next question while
- * none does, asked before the one before it is closed (PROTOCOL-irishead.md, Discovery; the bounds and their argument:
- * docs/list-clock.md). Two connections are open at most. All of it runs on the event loop's thread.
+ * Keeps one request for changes of the list pending at all times: an active watch, or the next request while there is
+ * none, sent before the previous connection is closed (PROTOCOL-irishead.md, Discovery; the bounds and their
+ * derivation: docs/list-clock.md). At most two connections are open. Runs on the event loop's thread.
  */
 final class Watches {
-    /** An empty line is due each 2 s; without a whole word for this long a watch counts as silent. */
+    /** Time without a complete message after which a watch counts as silent. An empty line is due every 2 s. */
     static final long QUIET_US = 3_000_000;
-    /** So long after its answer a watch is relieved, whatever it says: one that misses changes does not say so. */
+    /**
+     * Time after its first answer at which a watch is replaced, whatever it reports, because a watch that misses
+     * changes does not say so.
+     */
     static final long RELIEF_US = 2_450_000;
-    /** Between two questions that nothing answers. */
+    /** Interval between two unanswered requests. */
     static final long PACE_US = 1_250_000;
-    /** A question stands for so long, but for the second of a relief: its answer may be an empty line 2 s later. */
+    /**
+     * Time for which a request is pending, except for the second request of a replacement. Its answer may be an empty
+     * line 2 s later.
+     */
     static final long ANSWER_US = 2 * PACE_US;
     /**
-     * After the second of a relief that is not answered either, and between failures beside a watch that speaks: what that
-     * one leaves out without a word counts as told 6 s later, through two questions that fail.
+     * Interval after the second request of a replacement that gets no answer either, and between failures beside an
+     * active watch. What the active watch omits counts as notified 6 s later, even if two requests fail.
      */
     private static final long HASTE_US = 650_000;
-    /** A value that is written for longer than this no longer keeps its connection from making room. */
+    /** A value that takes longer than this to arrive no longer protects its connection from being replaced. */
     private static final long LONGEST_VALUE_US = 2 * ANSWER_US;
-    /** Before the next question when a connection has failed: well within the grace of a drain, and no spinning. */
+    /**
+     * Bounds of the delay before the next request after a failed connection: well within the grace period of a drain,
+     * without a busy loop.
+     */
     private static final long REST_LEAST_US = 50_000;
 
     private static final long REST_MOST_US = 100_000;
-    /** No version of the list is known that the one asked would understand. */
+    /** No version of the list is known that the current server would understand. */
     private static final long NONE = -1;
 
     private static final int OK = 200;
 
-    /** Who is told, on the event loop. */
+    /** Receives the list's events, on the event loop's thread. */
     interface Listener {
         /**
-         * A list has come, whole or what has changed in it; it is newer than what was told before it.
+         * A complete list or a set of changes arrived, newer than the previous one.
          *
-         * @throws IllegalArgumentException if it cannot be read; nothing of it may have counted then
+         * @throws IllegalArgumentException if it is invalid; nothing of it may have been applied then
          */
         void told(JsonNode list, InetSocketAddress from);
 
-        /** Nothing has changed since the version that was asked for. */
+        /** Nothing has changed since the requested version. */
         void unchanged();
 
-        /** No watch speaks; the next question is on its way. Once for each loss. */
+        /** No watch is active; the next request is under way. Reported once for each loss. */
         void lost();
     }
 
     private final EventLoop loop;
-    /** The monotonic clock, µs. */
+    /** Monotonic clock, us. */
     private final LongSupplier clock;
 
     private final Listener listener;
     private final SplittableRandom random;
     private InetSocketAddress address;
-    /** Of the list that was told last; at first any. */
+    /** Version of the last reported list; initially any. */
     private long version;
     /** When the list was last known to be up to date. */
     private long freshUs;
-    /** The one asked last, and the one before it, which is heeded until the newer one answers; each may be null. */
+    /** The latest watch and its predecessor, which is used until the latest one answers. Each may be null. */
     private Watch newest;
 
     private Watch older;
     private Future<?> due;
-    /** Nothing is asked before this. */
+    /** No request is sent before this time. */
     private long restUntilUs;
-    /** When the first question after the last answer was asked, beside which watch if any, and how many were since. */
+    /**
+     * When the first request since the last answer was sent, the watch that was active then (if any), and the number of
+     * requests since.
+     */
     private long askingSinceUs;
 
     private Watch relieved;
@@ -109,29 +121,29 @@
         this.listener = listener;
     }
 
-    /** Asks for what has changed since that version of the list. */
+    /** Sets the version after which changes are requested. */
     void knows(final long known) {
         version = known;
     }
 
-    /** The version of the list that was told last. */
+    /** Version of the last reported list. */
     long version() {
         return version;
     }
 
-    /** When the newest watch last said that all is told, µs. */
+    /** When the newest watch last confirmed that the list is up to date, us. */
     long freshUs() {
         return freshUs;
     }
 
-    /** From now on a question stands. */
+    /** Starts sending requests. */
     void follow() {
         if (due == null) {
             ask();
         }
     }
 
-    /** From now on the list is at another address; a watch that has spoken is heeded until that one does. */
+    /** Switches to another list service. A watch that has answered is used until the new service answers. */
     void move(final InetSocketAddress next) {
         if (next.equals(address)) {
             return;
@@ -150,7 +162,7 @@
         ask();
     }
 
-    /** Asks once more; of two connections that are open, the one that has been silent longest makes room. */
+    /** Sends another request. Of two open connections the one that has been silent longest is closed. */
     private void ask() {
         if (newest == null || newest.answered) {
             askingSinceUs = clock.getAsLong();
@@ -173,7 +185,7 @@
         plan();
     }
 
-    /** When the next question is due, if nothing more is heard. */
+    /** When the next request is due if nothing more is received. */
     private long dueUs() {
         if (newest == null || newest.answered && newest.doubted) {
             return restUntilUs;
@@ -184,7 +196,7 @@
         if (asked == 2 && speaks(relieved)) {
             return Math.max(restUntilUs, newest.askedUs + HASTE_US);
         }
-        // While the one before it speaks, there is no hurry with the first.
+        // While the previous watch is active, the first request may take longer.
         final long patientUs = !speaks(older) ? 0 : Math.min(newest.askedUs + ANSWER_US, older.heardUs + QUIET_US);
         return Math.max(restUntilUs, Math.max(newest.askedUs + PACE_US, patientUs));
     }
@@ -209,7 +221,7 @@
         }
     }
 
-    /** True if that one's last word is not too long ago; at an address that was left, none tells of the list. */
+    /** True if the watch was heard recently. A watch of a previous address is never active. */
     private boolean speaks(final Watch watch) {
         return watch != null && !watch.moved && clock.getAsLong() < watch.heardUs + QUIET_US;
     }
@@ -222,26 +234,28 @@
         }
     }
 
-    /** One watch, until its connection ends; before it the whole list, where no version is known. */
+    /** One watch, until its connection ends. Fetches the whole list first if no version is known. */
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private final InetSocketAddress at;
         private final long askedUs = clock.getAsLong();
         private Channel channel;
         private JsonValues values;
         private boolean asksWhole;
-        /** A list or an empty line has come. */
+        /** A list or an empty line has arrived. */
         private boolean answered;
-        /** Another was asked after it: whatever it says, that one's answer is waited for. */
+        /** A newer request was sent, whose answer is awaited whatever this watch reports. */
         private boolean doubted;
-        /** The list has moved to another address since. */
+        /** The list service has moved to another address since. */
         private boolean moved;
 
         private long answeredUs;
-        /** When a word last came whole: a list, or an empty line that is not in the middle of one. */
+        /** When a complete message last arrived: a list, or an empty line that is not inside one. */
         private long heardUs;
-        /** When a byte of an answer last came: a list that takes its time to be written is not heard, but it comes. */
+        /**
+         * When a byte last arrived. A list that is still arriving does not count as heard, but its connection is alive.
+         */
         private long byteUs;
-        /** The version that it asked for or was told last. */
+        /** The version that it requested or last reported. */
         private long after;
 
         private Watch(final InetSocketAddress at) {
@@ -330,7 +344,7 @@
                 heardUs = byteUs;
             }
             if (!answered && values.isEmptyLines()) {
-                // Nothing has changed since the version asked for: that is news of a list that may be old.
+                // Nothing has changed since the requested version. This confirms a list that may have been outdated.
                 answered();
                 listener.unchanged();
             }
@@ -354,17 +368,18 @@
             }
             final long seq = list.path("seq").asLong(NONE);
             if (seq < 0) {
-                throw new IllegalArgumentException("a list without its version");
+                throw new IllegalArgumentException("a list without a version");
             }
             if (seq < after && !list.path("whole").asBoolean()) {
-                // Numbered anew: what has changed since a version that is not this one's fits no list that is known.
+                // The version numbers started again, so changes since a version of another numbering apply to no known
+                // list.
                 version = NONE;
                 closeOther();
                 ended();
                 channel.close();
                 return;
             }
-            // Told already, by the other connection: what is newer follows on this one.
+            // The other connection already reported this version; newer ones follow here.
             final boolean late = !moved && seq >= after && seq < version;
             after = seq;
             if (!late) {
@@ -375,7 +390,10 @@
             answered();
         }
 
-        /** The first answer to a question ends the others; a watch that has been silent ends none by speaking again. */
+        /**
+         * Handles the first answer to a request, which ends the other watch. A silent watch that is heard again ends
+         * none.
+         */
         private void answered() {
             if (!answered) {
                 answered = true;
@@ -398,7 +416,7 @@
             }
         }
 
-        /** Its connection is gone, or never came up. */
+        /** Handles the end of the connection, or a failure to connect. */
         private void ended() {
             if (!stands()) {
                 return;
@@ -424,10 +442,10 @@
 
         @Override
         public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
-            // Once for each loss, unless it is the process that is in trouble.
+            // Logged once per loss, unless the process itself is in trouble.
             final boolean network = cause instanceof IOException || cause instanceof ChannelException;
             if (cause instanceof Error || !network && !lost) {
-                Log.failure("watch on the list", cause);
+                Log.failure("watch of the list", cause);
             }
             ended();
             ctx.close();
