--- a/src/main/java/driftchute/node/Clock.java
+++ b/src/main/java/driftchute/node/Clock.java
@@ -1,34 +1,34 @@
 package driftchute.node;
 
 /**
- * The two clocks of a courier, in microseconds. Everything runs on the monotonic one; the wall clock is for what
- * outlasts the process, since a monotonic clock means nothing to the next one.
+ * The clocks of a courier, in microseconds. Everything runs on the monotonic one. The wall clock is for what outlasts
+ * the process, because a monotonic clock has no meaning for the next one.
  */
 final class Clock {
     private static final long NS_PER_US = 1000;
     private static final long US_PER_MS = 1000;
 
-    /** Far from zero, so that "never yet" (zero) lies long ago for the decisions. */
+    /** Far from zero, so that "never" (zero) is in the distant past for the decisions. */
     private final long originUs = wallUs();
 
     private final long originNs = System.nanoTime();
 
-    /** Now, on the clock that never moves back. */
+    /** The present time on the monotonic clock. */
     long nowUs() {
         return originUs + (System.nanoTime() - originNs) / NS_PER_US;
     }
 
-    /** Now, in Unix time. */
+    /** The present Unix time. */
     long wallUs() {
         return System.currentTimeMillis() * US_PER_MS;
     }
 
-    /** A moment of the wall clock on the monotonic one, as the two stand to each other now. */
+    /** Converts a wall-clock time to the monotonic clock, with the present offset. */
     long fromWallUs(final long wallUs) {
         return nowUs() + wallUs - wallUs();
     }
 
-    /** A moment of the monotonic clock on the wall one, as the two stand to each other now. */
+    /** Converts a monotonic time to the wall clock, with the present offset. */
     long toWallUs(final long us) {
         return wallUs() + us - nowUs();
     }
--- a/src/main/java/driftchute/node/Config.java
+++ b/src/main/java/driftchute/node/Config.java
@@ -22,9 +22,9 @@
 import java.util.Set;
 
 /**
- * What a courier is told at its start: the file of the configuration, with the environment's word on addresses and
- * folders. Unknown keys are ignored; a value that cannot be read ends the start with one line that names it. The second
- * address may be absent: then {@code mgmt} is null; {@code fleet} is null where couriers share nothing.
+ * The configuration of a courier: the file's content, with addresses and folders overridden by the environment. Unknown
+ * keys are ignored. An invalid value prevents the start with one line that names it. {@code mgmt} is null without a
+ * management address; {@code fleet} is null if couriers share nothing.
  */
 record Config(
         String name,
@@ -45,7 +45,7 @@
     private static final long BYTES_PER_MB = 1_000_000;
     private static final String SOURCE = "configuration";
 
-    /** Why a courier cannot start. */
+    /** The reason why a courier cannot start. */
     static final class BadConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -54,7 +54,11 @@
         }
     }
 
-    /** Reads the file that the environment names. */
+    /**
+     * Reads the file that the environment names.
+     *
+     * @throws BadConfigException if it is missing or invalid
+     */
     static Config read(final Map<String, String> environment) throws BadConfigException {
         final String file = environment.get("PROXY_CONFIG");
         if (file == null) {
@@ -62,7 +66,7 @@
         }
         final JsonNode root;
         try {
-            // What stands behind the object is the rest of a file that is being written over.
+            // Anything after the object is the rest of a file that is being overwritten.
             root = new ObjectMapper()
                     .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                     .readTree(Files.readAllBytes(Path.of(file)));
@@ -84,7 +88,7 @@
         if (!classes.isMissingNode() && !classes.isArray()) {
             throw new BadConfigException(SOURCE + ": 'settings.classes' is no list");
         }
-        // Two name spaces: "discovery" is an address outside the settings, and a way of asking inside them.
+        // Two name spaces: "discovery" is an address outside the settings, and the way to get the list inside them.
         final Map<String, String> values = new HashMap<>();
         root.properties().forEach(entry -> {
             if (!Set.of("known", "settings", "fleet").contains(entry.getKey())) {
@@ -93,14 +97,14 @@
         });
         final Map<String, String> settingValues = new HashMap<>();
         flatten("", root.path("settings"), settingValues);
-        // How the simulator hands out the list says nothing of the sockets: a real courier has only what it asks for.
+        // This setting describes how the simulator provides the list. A real courier always has to request it.
         settingValues.put("discovery", "on_request");
         environment.forEach((variable, value) -> {
             switch (variable) {
                 case "PROXY_NAME" -> values.put("name", value);
                 case "PROXY_LISTEN" -> values.put("listen", value);
                 case "PROXY_MGMT" -> values.put("mgmt", value);
-                // The file can be replaced while the process runs; the environment then still has the old address.
+                // The file can be replaced while the process runs, but the environment keeps the old address.
                 case "PROXY_DISCOVERY" -> values.putIfAbsent("discovery", value);
                 case "PROXY_STATE" -> values.put("state", value);
                 default -> {}
@@ -129,7 +133,7 @@
         }
     }
 
-    /** What couriers share, or null: where the configuration has no {@code fleet} block, or the settings allow no peers. */
+    /** The fleet settings, or null if the configuration has no {@code fleet} block or the settings allow no peers. */
     private static FleetSettings fleet(final JsonNode root, final Fields fields, final Fields settings) {
         if (root.path("fleet").isMissingNode() || root.path("fleet").isNull()) {
             return null;
@@ -150,7 +154,10 @@
                 address("peer_listen", fields.text("peer_listen")), peers, (int) settings.whole("me", -1), block);
     }
 
-    /** Nested values as the wire names them: paths with dots, plain lists joined, lists of objects counted. */
+    /**
+     * Converts nested values to the simulator's names: dotted paths, plain lists joined by commas, lists of objects
+     * with a count.
+     */
     private static void flatten(final String path, final JsonNode value, final Map<String, String> into) {
         final String prefix = path.isEmpty() ? "" : path + ".";
         if (value.isObject()) {
@@ -189,7 +196,7 @@
         }
     }
 
-    /** Where something listens that is to be reached; as {@link #address}, with a port. */
+    /** The address of a remote service. Like {@link #address}, but requires a port. */
     static InetSocketAddress remote(final String what, final String text) {
         final InetSocketAddress address = address(what, text);
         if (address.getPort() == 0) {
@@ -199,8 +206,8 @@
     }
 
     /**
-     * An address with its port, both as figures: there is no DNS, and a name would be looked up on the event loop. Port 0
-     * lets the system choose one to listen on.
+     * A numeric address with its port. Names are not allowed: there is no DNS, and a look-up would block the event
+     * loop. With port 0 the system chooses a port to listen on.
      */
     static InetSocketAddress address(final String what, final String text) {
         final int colon = text.lastIndexOf(':');
--- a/src/main/java/driftchute/node/Handover.java
+++ b/src/main/java/driftchute/node/Handover.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 
 /**
- * Which of a courier's processes serves, and which stands by to take its place. Two locks say so, which end with their
- * process: so a process that dies at any moment holds nobody up.
+ * Decides which of a courier's processes serves and which stands by, by two file locks. A lock ends with its process,
+ * so that a process that dies at any moment blocks nobody.
  */
 final class Handover {
     private final Lock serving;
@@ -18,38 +18,38 @@
         this.standby = new Lock(folder.resolve("standby.lock"));
     }
 
-    /** Becomes the one that serves, if no other is. */
+    /** Becomes the serving process if there is none. */
     boolean serve() throws IOException {
         return serving.take();
     }
 
-    /** Becomes the one that serves next, if no other is. */
+    /** Becomes the stand-by process if there is none. */
     boolean standBy() throws IOException {
         return standby.take();
     }
 
-    /** It listens and sends now, so that the one before may stop listening. */
+    /** This process listens and sends now, so its predecessor may stop listening. */
     void served() throws IOException {
         standby.release();
     }
 
-    /** True if another process waits to take this one's place. */
+    /** True if another process stands by. */
     boolean hasNext() throws IOException {
         return standby.isTaken();
     }
 
-    /** This process records and sends no more: the next one may. */
+    /** This process records and sends nothing more, so its successor may. */
     void letGo() throws IOException {
         serving.release();
     }
 
-    /** This process ends before it has served: another may serve, or stand by. */
+    /** This process ends before it has served, so another may serve or stand by. */
     void withdraw() throws IOException {
         serving.release();
         standby.release();
     }
 
-    /** True once the next one has taken this one's place and listens. */
+    /** True once the successor serves and listens. */
     boolean isDone() throws IOException {
         return !standby.isTaken() && serving.isTaken();
     }
--- a/src/main/java/driftchute/node/Hangup.java
+++ b/src/main/java/driftchute/node/Hangup.java
@@ -3,13 +3,13 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Runs a task at each SIGHUP, which would end the process otherwise. The platform's own class for that is reached by
- * its name: it is supported, but the compiler warns of it in a way that cannot be silenced where warnings are errors.
+ * Runs a task on SIGHUP, which would otherwise end the process. The JDK's signal class is used by reflection: it is
+ * supported, but the compiler's warning about it cannot be suppressed where warnings are errors.
  */
 final class Hangup {
     private Hangup() {}
 
-    /** From now on each SIGHUP runs the task, on a thread of its own. */
+    /** Runs the task on each SIGHUP, on a separate thread. */
     static void onSignal(final Runnable task) {
         try {
             final Class<?> signal = Class.forName("sun.misc.Signal");
@@ -24,7 +24,7 @@
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), runs);
         } catch (final ReflectiveOperationException e) {
-            throw new IllegalStateException("this Java cannot handle SIGHUP", e);
+            throw new IllegalStateException("this JVM cannot handle SIGHUP", e);
         }
     }
 }
--- a/src/main/java/driftchute/node/Held.java
+++ b/src/main/java/driftchute/node/Held.java
@@ -3,8 +3,8 @@
 import driftchute.Courier;
 
 /**
- * A message that this courier owes an end, as the journal keeps it (times in Unix microseconds): what its client
- * handed in, and what became of it so far. Once it has ended by a notice, only the notice is still owed.
+ * A message in the journal: what its client submitted and the attempts so far (times in Unix microseconds). Once it has
+ * ended with a notice, only the notice is outstanding.
  */
 final class Held {
     static final long NEVER = Long.MAX_VALUE;
@@ -19,13 +19,13 @@
     private int attempts;
     private long firstRunWallUs = NEVER;
     private String runZone = "";
-    /** When the attempt that is out was begun; never, while none is. */
+    /** When the attempt in flight began; {@code NEVER} if there is none. */
     private long outWallUs = NEVER;
 
     private String outZone = "";
     private Notice notice;
 
-    /** The end that the platform is told: a failure, or a refusal with the time after which to come again. */
+    /** The outcome that the platform is notified of: a failure, or a refusal with the time after which to try again. */
     record Notice(boolean failed, long againMs) {}
 
     Held(
@@ -49,7 +49,7 @@
         outZone = zone;
     }
 
-    /** The attempt that was out has its outcome. */
+    /** The attempt in flight has its outcome. */
     void settle(final boolean neverRan) {
         if (!neverRan && outWallUs != NEVER) {
             firstRunWallUs = Math.min(firstRunWallUs, outWallUs);
@@ -64,20 +64,23 @@
         runZone = zone;
     }
 
-    /** True if more has become of it than the same message as another journal has it. */
+    /** True if this copy has progressed further than the same message's copy in another journal. */
     boolean isAheadOf(final Held other) {
         return notice != null && other.notice == null
                 || attempts > other.attempts
                 || attempts == other.attempts && isOut() && !other.isOut();
     }
 
-    /** Only its notice is owed from now on, and that needs no body: many may wait while the platform is away. */
+    /**
+     * From now on only its notice is outstanding. The body is dropped, because many notices may wait while the platform
+     * is unreachable.
+     */
     void owe(final Notice owed) {
         notice = owed;
         body = NOTHING;
     }
 
-    /** What its client handed in; empty once only its notice is owed. */
+    /** The body that its client submitted; empty once only its notice is outstanding. */
     byte[] body() {
         return body;
     }
@@ -110,7 +113,7 @@
         return outZone;
     }
 
-    /** What a process that did not see the attempts may count on. A call that was out may have run. */
+    /** The history for a process that did not make the attempts. A call in flight may have been executed. */
     Courier.Past past(final Clock clock) {
         final long firstWallUs = Math.min(firstRunWallUs, outWallUs);
         final boolean ran = firstWallUs != NEVER;
--- a/src/main/java/driftchute/node/Journal.java
+++ b/src/main/java/driftchute/node/Journal.java
@@ -20,32 +20,34 @@
 import java.util.zip.CRC32C;
 
 /**
- * The record of what this courier has taken on, in the folder that outlasts the process. A file of records, each with
- * its length and CRC32C ahead; what a kill cut off at its end is dropped. When the file has grown to its bound, what is
- * still owed is written to a new file that takes its place at once. Nothing is synced: the folder outlasts the process,
- * and a machine that is lost loses the folder as well.
+ * The journal of accepted messages, in the state folder, which outlasts the process. A file of records, each preceded
+ * by its length and CRC32C; a record cut off by a kill is dropped. When the file reaches its size limit, the open
+ * messages are written to a new file that replaces it atomically. Nothing is synced to disk: the folder outlasts the
+ * process, and a machine that is lost loses the folder as well.
  *
- * <p>Each process writes a file of its own, and a lock tells that it lives. What an earlier process left, or still
- * writes while it ends, is taken up from its file; until that is gone, the ends of what was taken up are kept here, so
- * that the files together say what is owed whichever process dies.
+ * <p>Each process writes its own file and holds a lock as long as it lives. Messages that an earlier process left, or
+ * still writes while it ends, are taken over from its file. Until that file is gone, the completion of messages taken
+ * over is kept here, so that the files together are correct whichever process dies.
  */
 final class Journal implements AutoCloseable {
     private static final String FILE = "journal";
     private static final String NEXT = ".next";
     private static final String BAD = ".bad";
-    /** Disk is counted in whole blocks of this many bytes (DEPLOY-irishead.md). */
+    /** Disk usage is counted in blocks of this many bytes (DEPLOY-irishead.md). */
     private static final long BLOCK = 512;
 
     private static final int HEAD_BYTES = 2 * Integer.BYTES;
-    /** Names that are looked through: an upgrade needs two, and one that follows at once a third. */
+    /** Maximum number of journal files. An upgrade needs two, and another one directly after it a third. */
     private static final int MOST_FILES = 8;
-    /** Share of the disk for one file: with the one that takes its place, four fifths are used at most. */
+    /** Share of the disk for one file. With the file that replaces it, at most four fifths are used. */
     private static final double FILE_SHARE = 0.4;
-    /** The same for a process that ends while the next one writes a file of its own beside it. */
+    /** The same for an ending process while its successor writes its own file. */
     private static final double LEAVING_SHARE = 0.3;
-    /** Share of a file that messages may fill: the rest is for how they fare, which must always find room. */
+    /**
+     * Share of a file that accepted messages may use. The rest is for the records about them, which must always fit.
+     */
     private static final double TAKE_SHARE = 0.6;
-    /** Room that is reckoned for how a message fares, and its notice: attempts are few and short. */
+    /** Space reserved for the attempts and the notice of a message, bytes. Attempts are few and short. */
     private static final int FATE_BYTES = 256;
 
     private static final int RECORDS = 3;
@@ -57,11 +59,11 @@
     static final byte OVER = 5;
     static final byte MEMORY = 6;
     /**
-     * The first record of a file since format 2: its format. Code of format 1 skips it, as it skips every record for
-     * an id that it does not hold, so one release back reads these files.
+     * The first record of a file since format 2, which holds the format. Code of format 1 skips it, like every record
+     * of an unknown id, so the previous release can read these files.
      */
     static final byte HEADER = 7;
-    /** Up to when a process that ends has recorded all that its calls were told; older code skips it as well. */
+    /** Time up to which an ending process has recorded the outcomes of all its calls. Older code skips it as well. */
     static final byte HEARD = 8;
     /** The format that this code writes, and the latest that it reads. */
     static final int VERSION = 2;
@@ -70,7 +72,7 @@
     private final long diskBytes;
     private final Map<String, Held> live = new LinkedHashMap<>();
     private final List<Predecessor> predecessors = new ArrayList<>();
-    /** Messages that have ended here while a predecessor's file may still name them. */
+    /** Messages completed here while a predecessor's file may still contain them. */
     private final Set<String> ended = new HashSet<>();
 
     private Path path;
@@ -78,33 +80,33 @@
     private long fileBytes;
     private FileChannel file;
     /**
-     * A descriptor that a compaction uses for its file: clients and calls may have all others just then, and what cannot
-     * be recorded can be neither taken on nor tried. It is the folder's; null while there was none to be had.
+     * A spare descriptor for the file of a compaction: clients and calls may be using all others, and what cannot be
+     * recorded can be neither accepted nor tried. It holds the folder open; null if none was available.
      */
     private FileChannel spare;
 
     private long size;
     private long liveBytes;
-    /** A record could not be written: the file lacks it until what is known here is written anew. */
+    /** A record could not be written. The file is incomplete until it is rewritten. */
     private boolean behind;
-    /** The next process reads this file. */
+    /** The successor reads this file. */
     private boolean leaving;
 
-    /** A journal that is not open yet: no file is touched. */
+    /** Creates a journal without opening it. No file is touched. */
     Journal(final Path folder, final long diskBytes) {
         this.folder = folder;
         this.diskBytes = diskBytes;
         this.fileBytes = (long) (FILE_SHARE * diskBytes);
     }
 
-    /** Opens the journal of a folder, or begins it, and reads what the courier still owes. */
+    /** Opens or creates the journal of a folder and reads the open messages. */
     static Journal open(final Path folder, final long diskBytes) throws IOException {
         final Journal journal = new Journal(folder, diskBytes);
         journal.open();
         return journal;
     }
 
-    /** Opens the first file that no living process writes, and begins to read all others. */
+    /** Opens the first file that no living process writes, and starts reading all others. */
     void open() throws IOException {
         Files.createDirectories(folder);
         for (int number = 0; number < MOST_FILES; number++) {
@@ -122,14 +124,14 @@
         if (path == null) {
             throw new IOException("all journals in " + folder + " are in use");
         }
-        // A kill in the middle of a compaction leaves this; the old file is still the whole truth.
+        // Left by a kill during a compaction; the old file is still complete.
         Files.deleteIfExists(nextPath());
         removeUnfinished();
         if (predecessors.isEmpty() && !Files.exists(path)) {
             Log.event(
                     "journal_begun",
                     "msg",
-                    "no journal in " + folder + ": nothing is owed from before (a first start,"
+                    "no journal in " + folder + ": no messages to resume (a first start,"
                             + " or a power loss, after which the folder is empty)");
         }
         file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
@@ -141,7 +143,7 @@
         return folder.resolve(number == 0 ? FILE : FILE + "." + number);
     }
 
-    /** Removes what a kill left of other processes' compactions: what has no journal beside it any more is nobody's. */
+    /** Removes files that killed compactions of other processes left without their journal. */
     private void removeUnfinished() throws IOException {
         for (int number = 0; number < MOST_FILES; number++) {
             final Path one = numbered(number);
@@ -152,8 +154,8 @@
     }
 
     /**
-     * Keeps what follows a record that failed its check in {@code journal.bad}, for an operator to look at, as far as
-     * the folder's bound leaves room beside a compaction's file; the result names the copy, or why there is none.
+     * Copies what follows a record that failed its check to {@code journal.bad} for the operators, as far as the
+     * folder's limit allows beside the file of a compaction. Returns the copy's name, or why there is none.
      */
     private String keepBad(final long from, final long dropped) {
         try {
@@ -166,7 +168,7 @@
             final long room = (diskBytes - used - fileBytes) / BLOCK * BLOCK;
             final long bytes = Math.min(dropped, room);
             if (bytes <= 0) {
-                return "none: no room within disk_mb";
+                return "none: no space within disk_mb";
             }
             final ByteBuffer bad = ByteBuffer.allocate((int) bytes);
             while (bad.hasRemaining() && file.read(bad, from + bad.position()) >= 0) {
@@ -192,7 +194,7 @@
         final JournalReader reader = new JournalReader(file);
         reader.read();
         size = reader.position();
-        // A kill in the middle of a write leaves half a record; nothing was answered or sent on its strength.
+        // A kill during a write leaves a partial record. Nothing was answered or sent because of it.
         if (size < file.size()) {
             final long dropped = file.size() - size;
             final String copy = reader.tail() == JournalReader.Tail.TORN ? "none" : keepBad(size, dropped);
@@ -223,32 +225,35 @@
         }
     }
 
-    // ---------------------------------------------------------------- an earlier process
+    // ---------------------------------------------------------------- earlier processes
 
     /**
-     * What the files of earlier processes brought. {@code mine}: messages that this one owes from now on; {@code over}:
-     * messages of this one that have ended there; {@code memories}: what was learnt of destinations there.
+     * News from the files of earlier processes. {@code mine}: messages that this process has taken over. {@code over}:
+     * messages of this process that were completed there. {@code memories}: destination states.
      */
     record News(List<Held> mine, List<String> over, List<Courier.Memory> memories) {}
 
-    /** True while an earlier process may still be at work, or its file is not taken up whole. */
+    /** True while an earlier process may still be running, or its file is not completely taken over. */
     boolean hasPredecessors() {
         return !predecessors.isEmpty();
     }
 
-    /** Calls that earlier processes still have out at a destination. */
+    /** Calls that earlier processes still have in flight at a destination. */
     int callsOutElsewhere(final long destination) {
         return predecessors.stream()
                 .mapToInt(predecessor -> predecessor.callsOut(destination))
                 .sum();
     }
 
-    /** Up to when all is known that the calls of earlier processes were told, Unix us; for ever where none is out. */
+    /**
+     * Time up to which all answers to the calls of earlier processes are known, Unix us; {@code Long.MAX_VALUE} if they
+     * have none in flight.
+     */
     long heardWallUs() {
         return predecessors.stream().mapToLong(Predecessor::heardWallUs).min().orElse(Long.MAX_VALUE);
     }
 
-    /** Reads on in the files of earlier processes, and records what this one takes up of them. */
+    /** Reads more of the files of earlier processes, and records the messages taken over from them. */
     News poll() {
         final News news = new News(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         for (final Predecessor predecessor : List.copyOf(predecessors)) {
@@ -262,7 +267,7 @@
                     removeUnfinished();
                 }
             } catch (final IOException e) {
-                Log.info("journal: cannot read an earlier process's: " + e.getMessage());
+                Log.info("journal: cannot read the journal of an earlier process: " + e.getMessage());
             }
         }
         if (predecessors.isEmpty()) {
@@ -278,7 +283,7 @@
         }
         for (final Held held : reader.live().values()) {
             final Held own = live.get(held.id);
-            // With a call out it is the earlier process's, until that has ended the call or is gone itself.
+            // A message with a call in flight belongs to the earlier process until that has ended the call or is gone.
             final boolean free = !held.isOut() || predecessor.isGone();
             if (free && !ended.contains(held.id) && (own == null || held != own && held.isAheadOf(own))) {
                 adopt(held);
@@ -289,32 +294,35 @@
         ended.addAll(reader.ended());
     }
 
-    /** Records a message of an earlier process as this one's, with all that became of it: there is no refusing it. */
+    /** Records a message of an earlier process as this process's, with its attempts. It cannot be refused. */
     private void adopt(final Held held) {
         final Held before = live.put(held.id, held);
         liveBytes += bytes(held) - (before == null ? 0 : bytes(before));
         records(held).forEach(this::append);
     }
 
-    /** This process ends its calls and takes no more decisions: the next one reads from a short file what it owes. */
+    /**
+     * Prepares the handover: this process only finishes its calls, and its successor reads the open messages from a
+     * compacted file.
+     */
     void leave(final List<Courier.Memory> memories) {
         try {
             compact();
         } catch (final IOException e) {
-            Log.info("journal: cannot be written anew: " + e.getMessage());
+            Log.info("journal: cannot be rewritten: " + e.getMessage());
         }
-        // From here on the next one reads this very file: it grows, and is not written anew.
+        // From here on the successor reads this very file. It is appended to, but not rewritten.
         leaving = true;
         fileBytes = (long) (LEAVING_SHARE * diskBytes);
         memories.forEach(this::remember);
     }
 
-    /** Records up to when all that this process's calls were told is recorded, for the next process. */
+    /** Records for the successor the time up to which the outcomes of all calls are recorded. */
     void heard(final long wallUs) {
         append(record(HEARD, "", out -> out.writeLong(wallUs)));
     }
 
-    /** Records what was learnt of a destination, for the next process. */
+    /** Records the state of a destination for the successor. */
     void remember(final Courier.Memory memory) {
         append(record(MEMORY, "", out -> {
             out.writeLong(memory.destination());
@@ -335,24 +343,27 @@
         }));
     }
 
-    // ---------------------------------------------------------------- what becomes of messages
+    // ---------------------------------------------------------------- records of messages
 
-    /** What the courier owes an end or a notice, in the order taken. */
+    /** The open messages and unconfirmed notices, in the order of acceptance. */
     Collection<Held> live() {
         return List.copyOf(live.values());
     }
 
-    /** How many messages that is. */
+    /** Number of open messages and unconfirmed notices. */
     int count() {
         return live.size();
     }
 
-    /** True while an end or a notice is owed for a message of that id, here or by an earlier process with its call out. */
+    /**
+     * True while a message of that id is open or its notice unconfirmed, here or in an earlier process that has its
+     * call in flight.
+     */
     boolean holds(final String id) {
         return live.containsKey(id) || predecessors.stream().anyMatch(predecessor -> predecessor.holds(id));
     }
 
-    /** Records a message that is taken on; false, and nothing taken, if there is no room for it. */
+    /** Records an accepted message. Returns false, and accepts nothing, if there is no space for it. */
     boolean take(final Held held) {
         final long bytes = bytes(held);
         if (live.containsKey(held.id) || liveBytes + bytes > TAKE_SHARE * fileBytes || !append(taken(held))) {
@@ -363,7 +374,7 @@
         return true;
     }
 
-    /** Records an attempt, before its call's first byte; false if that failed, and then it may not be made. */
+    /** Records an attempt before the first byte of its call. If this returns false, the attempt may not be made. */
     boolean begin(final Held held, final long wallUs, final String zone) {
         if (!append(record(BEGUN, held.id, out -> {
             out.writeLong(wallUs);
@@ -381,7 +392,7 @@
         append(record(SETTLED, held.id, out -> out.writeBoolean(neverRan)));
     }
 
-    /** Records that a message has ended and that only its notice is still owed. */
+    /** Records that a message has ended and only its notice is outstanding. */
     void owe(final Held held, final Held.Notice notice) {
         final boolean counted = live.containsKey(held.id);
         final long before = bytes(held);
@@ -390,12 +401,12 @@
         append(owed(held));
     }
 
-    /** Records that nothing is owed for a message any more. */
+    /** Records that a message is completed. */
     void over(final Held held) {
         over(held.id);
     }
 
-    /** The same for a message of which only the id is known. */
+    /** Records that the message of that id is completed. */
     void over(final String id) {
         final Held held = live.remove(id);
         if (held != null) {
@@ -411,7 +422,7 @@
         try {
             spare = FileChannel.open(folder, StandardOpenOption.READ);
         } catch (final IOException e) {
-            // The next compaction goes without, and says so if it fails.
+            // The next compaction has no spare descriptor, and logs it if it fails.
             spare = null;
         }
     }
@@ -432,13 +443,13 @@
 
     private static long bytes(final Held held) {
         final int keyChars = held.idempotencyKey == null ? 0 : held.idempotencyKey.length();
-        // Two bytes a character at most, for what a header may hold; each of a message's records names its id.
+        // A header's characters take at most two bytes each, and each record of a message contains its id.
         return held.body().length + 2L * (RECORDS * held.id.length() + keyChars + held.className.length()) + FATE_BYTES;
     }
 
     // ---------------------------------------------------------------- writing
 
-    /** Writes the rest of a record. */
+    /** Writes the content of a record. */
     private interface Content {
         void write(DataOutputStream out) throws IOException;
     }
@@ -464,7 +475,7 @@
         return record(HEADER, "", out -> out.writeInt(VERSION));
     }
 
-    /** A message with all that became of it, so that one record is enough after a compaction. */
+    /** A message with its finished attempts, so that one record is enough after a compaction. */
     private static ByteBuffer taken(final Held held) {
         return record(TAKEN, held.id, out -> {
             out.writeUTF(held.className);
@@ -480,7 +491,7 @@
         });
     }
 
-    /** All that there is to say of a message. */
+    /** All records of a message. */
     private static List<ByteBuffer> records(final Held held) {
         final List<ByteBuffer> records = new ArrayList<>();
         records.add(taken(held));
@@ -506,7 +517,7 @@
     private boolean append(final ByteBuffer record) {
         try {
             if (leaving && (behind || size + record.capacity() > fileBytes)) {
-                throw new IOException("no room is left for a process that ends");
+                throw new IOException("no space is left for an ending process");
             }
             if (behind || size + record.capacity() > fileBytes) {
                 compact();
@@ -539,7 +550,7 @@
         }
     }
 
-    /** Writes what is owed to a new file and puts it in the place of the old one in one step. */
+    /** Writes the open messages to a new file and replaces the old one atomically. */
     private void writeAnew() throws IOException {
         final Path next = nextPath();
         final FileChannel fresh = FileChannel.open(
@@ -557,7 +568,7 @@
                 }
             }
             for (final String id : ended) {
-                // One of that id may have been taken on anew: it is owed.
+                // A new message of that id may have been accepted since, which is still open.
                 written = live.containsKey(id) ? written : copy(fresh, record(OVER, id, out -> {}), written);
             }
             Files.move(next, path, StandardCopyOption.ATOMIC_MOVE);
--- a/src/main/java/driftchute/node/JournalCheck.java
+++ b/src/main/java/driftchute/node/JournalCheck.java
@@ -15,11 +15,11 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Reads a courier's state folder without changing it, and says for each journal file how many records are whole and
- * checked (length and CRC32C), how many messages are still owed, and what follows: {@code whole}, {@code torn} (a
- * record cut short by a kill, which a start drops), {@code corrupt} or {@code future} (a later format than this
- * code's). One JSON object a line; exit code 0 where no
- * file is corrupt or of the future, 1 where one is, 2 for a folder that cannot be read or a bad command line.
+ * Checks the journal files of a courier's state folder without changing them. Reports for each file the number of
+ * complete, checked records (length and CRC32C), the number of open messages, and what follows: {@code whole}, {@code
+ * torn} (a record cut short by a kill, which a start drops), {@code corrupt} or {@code future} (a later format than
+ * this code's). One JSON object per line. The exit code is 0 if no file is corrupt or of a later format, 1 if one is,
+ * and 2 for a folder that cannot be read or a wrong command line.
  */
 @Command(
         name = "check",
@@ -62,8 +62,7 @@
                         file.size() - reader.position(),
                         reader.tail().name().toLowerCase(Locale.ROOT));
             } catch (final NoSuchFileException e) {
-                // The courier has written its journal anew, or is done with an earlier one's, since the files were
-                // listed.
+                // The courier has rewritten its journal, or has finished an earlier one, since the files were listed.
                 System.out.println("gone meanwhile: " + journal.getFileName());
             } catch (final IOException e) {
                 System.out.println("ERR cannot read " + journal + ": " + e.getMessage());
--- a/src/main/java/driftchute/node/JournalReader.java
+++ b/src/main/java/driftchute/node/JournalReader.java
@@ -15,11 +15,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * Reads the records of a journal's file as far as they are whole, and reads on from there when the file has grown: its
- * process may still be writing.
+ * Reads the complete records of a journal file, and continues when the file has grown, since its process may still be
+ * writing.
  */
 final class JournalReader {
-    /** What follows the last whole record: nothing, a record cut short at the file's end, or bytes that fail a check. */
+    /**
+     * What follows the last complete record: nothing, a record cut short by the file's end, bytes that fail a check, or
+     * a later format. Logged by name.
+     */
     enum Tail {
         WHOLE,
         TORN,
@@ -29,7 +32,7 @@
 
     private static final int HEAD_BYTES = 2 * Integer.BYTES;
     private static final int MOST_RECORD_BYTES = 1 << 17;
-    /** The writer never told up to when it has heard: it is of a release that does not. */
+    /** The writer never recorded this time; its release does not support it. */
     static final long NEVER_HEARD = -1;
 
     private final FileChannel file;
@@ -39,7 +42,7 @@
     private long position;
     private int records;
     private Tail tail = Tail.WHOLE;
-    /** The format of the file: 1 for files before the header record, else what the header says. */
+    /** Format of the file: 1 for files without a header record, otherwise as in the header. */
     private int version = 1;
 
     private long heardWallUs = NEVER_HEARD;
@@ -48,7 +51,7 @@
         this.file = file;
     }
 
-    /** Reads what is whole; false if there was nothing new. */
+    /** Reads the complete records. Returns false if there was nothing new. */
     boolean read() throws IOException {
         final long fromPosition = position;
         final ByteBuffer all = ByteBuffer.allocate((int) Math.max(0, file.size() - position));
@@ -87,49 +90,52 @@
         return position > fromPosition;
     }
 
-    /** How many whole, checked records were read. */
+    /** Number of complete, checked records read. */
     int records() {
         return records;
     }
 
     /**
-     * What follows {@link #position()} at the last read: a record whose length points past the file's end is
-     * {@link Tail#TORN} (a kill in the middle of its write); one whose length is impossible or whose CRC32C fails, with
-     * all its bytes there, is {@link Tail#CORRUPT}; a file whose header names a later format than this code's is
-     * {@link Tail#FUTURE} from its header on.
+     * What followed {@link #position()} at the last read. A record that extends past the file's end is {@link
+     * Tail#TORN} (a kill during its write). A record with an impossible length or a wrong CRC32C, although all its
+     * bytes are there, is {@link Tail#CORRUPT}. A file whose header names a later format than this code's is {@link
+     * Tail#FUTURE} from its header on.
      */
     Tail tail() {
         return tail;
     }
 
-    /** The file's format, by its header; 1 for one written before there were headers. */
+    /** The file's format according to its header; 1 if it has none. */
     int version() {
         return version;
     }
 
-    /** Up to where the file is whole. */
+    /** End of the complete records, bytes. */
     long position() {
         return position;
     }
 
-    /** What is owed an end or a notice, in the order taken. */
+    /** The open messages and unconfirmed notices, in the order of acceptance. */
     Map<String, Held> live() {
         return live;
     }
 
-    /** All messages whose end stands in the file, but for those that it takes on again behind that. */
+    /** Ids of the messages completed in the file, except those accepted again after that. */
     Set<String> ended() {
         return ended;
     }
 
-    /** What was learnt of destinations, since this was last asked. */
+    /** The destination states read since the last call. */
     List<Courier.Memory> takeMemories() {
         final List<Courier.Memory> all = List.copyOf(memories);
         memories.clear();
         return all;
     }
 
-    /** Up to when its writer has recorded all that its calls were told, Unix us; {@link #NEVER_HEARD} if it never said. */
+    /**
+     * Time up to which the writer has recorded the outcomes of all its calls, Unix us; {@link #NEVER_HEARD} if it never
+     * did.
+     */
     long heardWallUs() {
         return heardWallUs;
     }
--- a/src/main/java/driftchute/node/JsonValues.java
+++ b/src/main/java/driftchute/node/JsonValues.java
@@ -10,11 +10,14 @@
 import java.util.function.Consumer;
 
 /**
- * Turns the bytes of a stream into whole JSON objects, wherever its lines and reads end. Each is handed on with its
- * last byte, and nothing of it before.
+ * Parses a byte stream into complete JSON objects, independent of line ends and read boundaries. Each object is passed
+ * on with its last byte.
  */
 final class JsonValues {
-    /** The longest value, with the white space before it, in whole reads since the one that ended the last value. */
+    /**
+     * Maximum size of a value, with the white space before it, counted in whole reads since the one that completed the
+     * previous value.
+     */
     static final int MOST_BYTES = 1 << 22;
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -22,38 +25,39 @@
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
     private final Consumer<JsonNode> values;
-    /** What has come of the value that has begun; null between values. */
+    /** Tokens of an incomplete value; null between values. */
     private TokenBuffer begun;
 
     private int depth;
     private int pendingBytes;
-    /** Nothing but white space has come. */
+    /** Nothing but white space has arrived. */
     private boolean blank = true;
 
     private boolean emptyLine;
 
-    /** Hands each value to {@code values}, whose exceptions end the reading. */
+    /** Passes each value to {@code values}, whose exceptions end the parsing. */
     JsonValues(final Consumer<JsonNode> values) {
         this.values = values;
         try {
             this.parser = JSON.getFactory().createNonBlockingByteArrayParser();
         } catch (final IOException e) {
-            throw new IllegalStateException("a parser that reads nothing yet has failed", e);
+            throw new IllegalStateException("creating the JSON parser failed", e);
         }
         this.feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
     /**
-     * Reads on.
+     * Parses more bytes.
      *
-     * @throws IllegalArgumentException where that is no JSON object, or one longer than {@link #MOST_BYTES}; what comes
-     *         after it cannot be read any more
+     * @throws IllegalArgumentException if they are not a JSON object, or one longer than {@link #MOST_BYTES}; nothing
+     * can be
+     *         parsed after that
      */
     void read(final byte[] bytes) {
         look(bytes);
         pendingBytes += bytes.length;
         if (pendingBytes > MOST_BYTES) {
-            throw new IllegalArgumentException("a list of more than " + MOST_BYTES + " bytes");
+            throw new IllegalArgumentException("the list exceeds " + MOST_BYTES + " bytes");
         }
         try {
             feeder.feedInput(bytes, 0, bytes.length);
@@ -61,16 +65,16 @@
                 add(token);
             }
         } catch (final IOException e) {
-            throw new IllegalArgumentException("the list cannot be read: " + e.getMessage(), e);
+            throw new IllegalArgumentException("the list is not valid JSON: " + e.getMessage(), e);
         }
     }
 
-    /** True where no value has begun whose end has not come. */
+    /** True if no value is incomplete. */
     boolean isBetween() {
         return begun == null;
     }
 
-    /** True while nothing but white space has come, and an empty line at least. */
+    /** True if at least one empty line and nothing but white space has arrived. */
     boolean isEmptyLines() {
         return blank && emptyLine;
     }
@@ -85,7 +89,7 @@
     private void add(final JsonToken token) throws IOException {
         if (begun == null) {
             if (token != JsonToken.START_OBJECT) {
-                throw new IllegalArgumentException("a list is a JSON object, and begins with no " + token);
+                throw new IllegalArgumentException("a list must be a JSON object, but begins with " + token);
             }
             begun = new TokenBuffer(parser);
         }
--- a/src/main/java/driftchute/node/LingeringClose.java
+++ b/src/main/java/driftchute/node/LingeringClose.java
@@ -10,13 +10,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lingering close (RFC 9112, 9.6): a socket that is closed over unread bytes is reset, and the reset can overtake the
- * last answer. So the sending side is closed first, and what still comes is read away, within bounds, and not looked at.
+ * Lingering close (RFC 9112, 9.6): closing a socket with unread bytes resets the connection, and the reset can overtake
+ * the last answer. So the sending side is closed first, and a bounded amount of input is read and discarded.
  */
 final class LingeringClose extends ChannelInboundHandlerAdapter {
-    /** For how long: a client waits 400 ms for an answer (PROTOCOL-irishead.md, Clients to couriers). */
+    /** Duration of the linger. A client waits 400 ms for an answer (PROTOCOL-irishead.md, Clients to couriers). */
     private static final long LINGER_MS = 500;
-    /** From a client that sends more than that nothing is read any more, and its connection is reset in the end. */
+    /**
+     * Maximum input that is discarded, bytes. If a client sends more, reading stops and its connection is reset at the
+     * end.
+     */
     private static final int MOST_DRAINED_BYTES = 1 << 18;
 
     private final ChannelFuture lastWritten;
@@ -26,7 +29,7 @@
         this.lastWritten = lastWritten;
     }
 
-    /** Closes the connection once its last bytes are written; from this moment nothing more is read off it. */
+    /** Closes the connection after its last bytes have been written. From now on its input is discarded. */
     static void after(final ChannelFuture lastWritten) {
         final var channel = lastWritten.channel();
         channel.pipeline().addFirst(new LingeringClose(lastWritten));
--- a/src/main/java/driftchute/node/Lock.java
+++ b/src/main/java/driftchute/node/Lock.java
@@ -8,8 +8,8 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * A lock in the folder that the processes of one courier share. It ends with its process, however that ends; its file
- * stays, empty, since one that is removed could be locked twice under one name. Any thread may ask.
+ * A file lock shared by the processes of one courier. It ends with its process. Its empty file remains, because a
+ * removed file could be locked twice under one name. Thread-safe.
  */
 final class Lock implements AutoCloseable {
     private final FileChannel channel;
@@ -19,12 +19,12 @@
         this.channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    /** Takes it, if nobody has it; true while it is this one's. */
+    /** Takes the lock if it is free. True while this object holds it. */
     synchronized boolean take() throws IOException {
         try {
             lock = lock == null ? channel.tryLock() : lock;
         } catch (final OverlappingFileLockException e) {
-            // Held inside this very process: somebody has it all the same.
+            // It is held by this very process, but by another object.
             return false;
         }
         return lock != null;
@@ -37,7 +37,7 @@
         }
     }
 
-    /** True if somebody else has it at this moment. */
+    /** True if another holder has the lock at this moment. */
     synchronized boolean isTaken() throws IOException {
         final boolean mine = lock != null;
         final boolean free = take();
--- a/src/main/java/driftchute/node/Log.java
+++ b/src/main/java/driftchute/node/Log.java
@@ -11,10 +11,10 @@
 import java.util.logging.Logger;
 
 /**
- * Standard error is the courier's log: one JSON object a line, for each thing that an operator or a checker should
- * know, none for a message. Every line has {@code t_ms} (Unix time, ms), {@code mono_us} (this process's monotonic
- * clock, µs, to order its own lines), {@code proc} (the configured name, {@code "-"} before it is read) and
- * {@code event}; free sentences go in {@code msg}. A failure's stack trace follows its line as plain text.
+ * The log on standard error: one JSON object per line for each event that matters to an operator or a checker, none for
+ * single messages. Every line has {@code t_ms} (Unix time, ms), {@code mono_us} (this process's monotonic clock, us, to
+ * order its own lines), {@code proc} (the configured name, {@code "-"} before it is read) and {@code event}; free text
+ * is in {@code msg}. A failure's stack trace follows its line as plain text.
  */
 final class Log {
     private static final int BROKEN_STATUS = 70;
@@ -24,14 +24,14 @@
 
     private Log() {}
 
-    /** From now on lines carry this process's name. */
+    /** Sets the process name for subsequent lines. */
     static void named(final String process) {
         name = process;
     }
 
     /**
-     * What the libraries say comes as lines of this log from now on. The platform's own way to write them loads the time
-     * zones from a file, and where no descriptor is left for that, the thread that wrote the line ends by it.
+     * Redirects the libraries' log lines to this log. The JDK's console handler loads the time zones from a file, and
+     * if no descriptor is available for that, the thread that wrote the line ends.
      */
     static void takeLibraryLines() {
         LogManager.getLogManager().reset();
@@ -67,13 +67,13 @@
     }
 
     /**
-     * One structured line: {@code fields} alternate names and values (strings, numbers, booleans).
+     * Writes a structured line. {@code fields} alternates names and values (strings, numbers, booleans).
      *
-     * @throws IllegalArgumentException where the fields do not come in pairs
+     * @throws IllegalArgumentException if the fields do not come in pairs
      */
     static void event(final String event, final Object... fields) {
         if (fields.length % 2 != 0) {
-            throw new IllegalArgumentException("fields come in pairs: " + fields.length);
+            throw new IllegalArgumentException("fields must come in pairs: " + fields.length);
         }
         final Map<String, Object> line = new LinkedHashMap<>();
         line.put("t_ms", System.currentTimeMillis());
@@ -92,12 +92,12 @@
         System.err.println(text);
     }
 
-    /** Says what failed and why, with the trace: an unexpected exception is worth its lines. */
+    /** Logs an unexpected exception with its stack trace. */
     static void failure(final String what, final Throwable cause) {
         event("failure", "msg", what, "cause", String.valueOf(cause));
         cause.printStackTrace();
         if (cause instanceof VirtualMachineError) {
-            // Nothing can be trusted after that, least of all that anyone is served; the next process resumes.
+            // After that nothing can be trusted, so the process ends; the next one resumes.
             Runtime.getRuntime().halt(BROKEN_STATUS);
         }
     }
--- a/src/main/java/driftchute/node/Main.java
+++ b/src/main/java/driftchute/node/Main.java
@@ -11,26 +11,26 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** Starts a real courier, has it read its configuration again on SIGHUP, and ends it in order on SIGTERM. */
+/** Starts a courier process, reloads its configuration on SIGHUP, and stops it in order on SIGTERM. */
 public final class Main {
-    /** After SIGTERM new connections still come for up to 0.4 s. */
+    /** Time for which the listener stays open after SIGTERM. New connections still arrive for up to 0.4 s. */
     private static final long LISTEN_MS = 550;
-    /** The same where another process takes over: one that is slow to listen is waited for, and clients are served. */
+    /** The same if another process takes over: it may be slow to listen, and clients are served meanwhile. */
     private static final long LEAVE_LISTEN_MS = 2500;
     /**
-     * When clients' connections that are left are ended: each has had 2 s since it was accepted, and what is answered
-     * then has 0.5 s to be read.
+     * Time after SIGTERM at which remaining client connections are ended. Each has been open for at least 2 s then, and
+     * their last answers have 0.5 s left to be read.
      */
     private static final long HANG_UP_MS = 2600;
-    /** What stands in the listener's queue is accepted and read within this, a few turns of the loop. */
+    /** Time to accept and read what is in the listener's queue: a few turns of the event loop. */
     private static final long QUEUE_MS = 50;
-    /** When the process ends after SIGTERM: SIGKILL comes no sooner than 3.7 s after it. */
+    /** Time after SIGTERM at which the process ends. SIGKILL comes no sooner than 3.7 s after SIGTERM. */
     private static final long STOP_MS = 3100;
 
     private static final long STOP_CHECK_MS = 20;
-    /** How much longer the event loop is given for its last turn. */
+    /** Additional time for the event loop's last turn. */
     private static final long LAST_TURN_MS = 1000;
-    /** How often it is looked whether another process has let go, or listens. */
+    /** Interval at which the locks of other processes are checked. */
     private static final long SEEK_MS = 10;
 
     private static final long US_PER_MS = 1000;
@@ -40,11 +40,11 @@
     private final Clock clock = new Clock();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final Map<String, String> environment;
-    /** It can serve: it does, or stands by to do so. */
+    /** True if this process serves, or stands by to serve. */
     private volatile boolean ready;
-    /** It has taken the place of the one before; only the loop asks. */
+    /** True once it has taken over from its predecessor. Event loop only. */
     private boolean serving;
-    /** It was told to end before it served: it takes nothing up any more. Only the loop asks. */
+    /** True if it was told to stop before it served: it takes nothing over any more. Event loop only. */
     private boolean endsUnserved;
 
     private Handover handover;
@@ -55,7 +55,7 @@
         this.environment = environment;
     }
 
-    /** Runs a courier with what the environment tells, until it is ended. */
+    /** Runs a courier with the settings of the environment until it is stopped. */
     public static void main(final String[] args) {
         try {
             start(System.getenv());
@@ -71,7 +71,7 @@
     }
 
     private void start() throws Config.BadConfigException, IOException {
-        // First of all: until this is in place, a SIGHUP ends the process.
+        // Must be first: until the handler is in place, a SIGHUP ends the process.
         Hangup.onSignal(this::reload);
         final Config config = Config.read(environment);
         Log.named(config.name());
@@ -79,13 +79,13 @@
         Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
         final Orders orders = new Orders(config.state());
         if (handover.serve()) {
-            // A drain is the running courier's: one that starts anew is there to serve.
+            // A drain applies to the running courier. One that starts anew is meant to serve.
             orders.change(standing -> standing.drained(false));
         }
         onLoop(() -> run(config, orders));
     }
 
-    /** A step of the start; if it fails, no courier is left that is never ready. */
+    /** A step of the start. If it fails the process exits, so that no courier is left that never becomes ready. */
     private interface Step {
         void run() throws IOException;
     }
@@ -95,7 +95,7 @@
             try {
                 step.run();
             } catch (final IllegalArgumentException | IOException e) {
-                // On the loop's thread this would be swallowed.
+                // An exception on the event loop's thread would otherwise be swallowed.
                 giveUp(e.getMessage());
             }
         });
@@ -106,7 +106,7 @@
         Runtime.getRuntime().halt(1);
     }
 
-    /** Builds everything on the event loop, which owns it all from then on. */
+    /** Creates all parts on the event loop, which owns them from then on. */
     private void run(final Config config, final Orders orders) throws IOException {
         if (endsUnserved) {
             return;
@@ -118,7 +118,7 @@
         seek(config);
     }
 
-    /** Serves as soon as no other process of this courier does; until then it stands by, and is as good as ready. */
+    /** Serves as soon as no other process of this courier does. Until then it stands by, which counts as ready. */
     private void seek(final Config config) throws IOException {
         if (endsUnserved) {
             return;
@@ -154,7 +154,7 @@
         });
     }
 
-    /** Opens the second address, where the configuration has one. */
+    /** Opens the management address if one is configured. */
     private void manage(final Config config, final Orders orders) {
         if (config.mgmt() == null) {
             return;
@@ -171,8 +171,8 @@
     }
 
     /**
-     * On SIGHUP: moves to the discovery that the file names now. One reading at a time, so that of two signals in a
-     * row the later one's file counts. A file that cannot be used changes nothing.
+     * Handles SIGHUP: switches to the discovery address in the configuration file. Synchronized, so that after two
+     * signals the later file wins. An invalid file changes nothing.
      */
     private synchronized void reload() {
         try {
@@ -187,13 +187,13 @@
         }
     }
 
-    /** On SIGTERM: leaves its place to the process that stands by, or what is not done in time to the next start. */
+    /** Handles SIGTERM: hands over to the process that stands by, or leaves unfinished work to the next start. */
     private void stop() {
-        // All that is due before SIGKILL counts from here: the loop may come to it late.
+        // All deadlines before SIGKILL count from here, because the event loop may run late.
         final long fromUs = clock.nowUs();
         loop.execute(() -> {
             if (!serving) {
-                // It took nothing on: whoever serves goes on.
+                // It has accepted nothing, so the serving process simply goes on.
                 endUnserved();
                 return;
             }
@@ -205,12 +205,12 @@
                     drain(fromUs);
                 }
             } catch (final IOException e) {
-                Log.failure("the locks cannot be used", e);
+                Log.failure("the handover locks cannot be used", e);
                 drain(fromUs);
             }
         });
         try {
-            // A process that was itself stopped for a while reads what has come meanwhile before it ends.
+            // A process that was itself suspended reads what has arrived meanwhile before it ends.
             if (!stopped.await(STOP_MS + LISTEN_MS / 2, TimeUnit.MILLISECONDS)
                     && !stopped.await(LAST_TURN_MS, TimeUnit.MILLISECONDS)) {
                 Log.info("the event loop did not stop in time");
@@ -220,21 +220,21 @@
         }
     }
 
-    /** The end takes a while yet: from now on it is neither the one that serves nor the next, so that another may be. */
+    /** Ending takes a while. From now on this process neither serves nor stands by, so that another one may. */
     private void endUnserved() {
         endsUnserved = true;
         ready = false;
         try {
             handover.withdraw();
         } catch (final IOException e) {
-            Log.failure("the locks cannot be used", e);
+            Log.failure("the handover locks cannot be used", e);
         }
         stopped.countDown();
     }
 
     /**
-     * Nobody stands by: goes on for as long as clients have connections open and messages are owed, within what is left
-     * before SIGKILL, and leaves what is not done by then to the next start.
+     * Stops without a successor: goes on while clients are connected and messages are open, within the time left before
+     * SIGKILL, and leaves the rest to the next start.
      */
     private void drain(final long fromUs) {
         final long stopUs = notBeforeRead(fromUs + STOP_MS * US_PER_MS);
@@ -247,19 +247,19 @@
         at(notBeforeRead(fromUs + HANG_UP_MS * US_PER_MS), intake::hangUp);
     }
 
-    /** That moment; or, where the loop is late, the one by which what stands in the listener's queue is read. */
+    /** The given time, or later if the event loop is late and still has to read what is in the listener's queue. */
     private long notBeforeRead(final long us) {
         return Math.max(us, clock.nowUs() + QUEUE_MS * US_PER_MS);
     }
 
-    /** Runs it on the loop at that moment, or at once where that is past. */
+    /** Runs a task on the event loop at that time, or at once if it has passed. */
     private void at(final long us, final Runnable task) {
         loop.schedule(task, us - clock.nowUs(), TimeUnit.MICROSECONDS);
     }
 
-    /** Another process takes this one's place: ends its calls and its clients' connections, and no more. */
+    /** Hands over to another process: only finishes its calls and its clients' connections. */
     private void leave(final long fromUs) throws IOException {
-        Log.info("another process takes over");
+        Log.info("handing over to another process");
         intake.leave();
         host.leave();
         handover.letGo();
@@ -267,11 +267,11 @@
         stopWhen(notBeforeRead(fromUs + STOP_MS * US_PER_MS), () -> host.idle() && intake.isEmpty());
     }
 
-    /** Listens until the next process does, or does not come. */
+    /** Listens until the successor does, or until the time is up. */
     private void stopListening(final long byUs) {
         final boolean done = isTakenOver();
         if (done || clock.nowUs() >= byUs) {
-            Log.info(done ? "the next process listens" : "the next process does not listen; what is held waits for it");
+            Log.info(done ? "the successor listens" : "the successor does not listen yet; open messages wait for it");
             intake.closeListener();
         } else {
             loop.schedule(() -> stopListening(byUs), SEEK_MS, TimeUnit.MILLISECONDS);
@@ -286,7 +286,7 @@
         }
     }
 
-    /** The last turn: what the end of the process would cut off is ended before, and recorded as what it is. */
+    /** Waits for the end, then ends what the process's exit would cut off, so that it is recorded correctly. */
     private void stopWhen(final long stopUs, final BooleanSupplier done) {
         loop.scheduleWithFixedDelay(
                 () -> {
--- a/src/main/java/driftchute/node/Orders.java
+++ b/src/main/java/driftchute/node/Orders.java
@@ -17,9 +17,9 @@
 import java.util.function.UnaryOperator;
 
 /**
- * What the operators have ordered until they take it back: endpoints left out, and a drain. It is one small file in the
- * folder that outlasts the process, and the file alone is the truth: every process of the courier looks at it before it
- * acts, so that an order holds for all of them from the moment the file is in place. Any thread may ask.
+ * The operators' orders: disabled endpoints and a drain. They are kept in a small file of the state folder, which is
+ * the only source of truth: every process of the courier checks it before it acts, so that an order applies to all of
+ * them once the file is in place. Thread-safe.
  */
 final class Orders {
     private static final String FILE = "orders";
@@ -28,7 +28,7 @@
     private static final String OUT = "out ";
     private static final String DRAIN = "drain";
 
-    /** The orders that stand. */
+    /** The orders in force. */
     record Standing(Set<String> out, boolean drain) {
         Standing {
             out = Set.copyOf(out);
@@ -53,7 +53,10 @@
 
     private final Path folder;
     private final File file;
-    /** Held by a thread that changes the orders, also while it waits for another process: nobody else may wait with it. */
+    /**
+     * Held by a thread while it changes the orders, also while it waits for another process's file lock. Readers do not
+     * wait for it.
+     */
     private final Object changing = new Object();
 
     private long seenMs = -1;
@@ -64,7 +67,7 @@
         this.file = folder.resolve(FILE).toFile();
     }
 
-    /** The orders as they stand now; the same object as long as nothing has changed. */
+    /** The present orders; the same object as long as nothing has changed. */
     synchronized Standing standing() {
         final long atMs = file.lastModified();
         if (atMs != seenMs) {
@@ -72,14 +75,18 @@
                 standing = atMs == 0 ? new Standing(Set.of(), false) : read();
                 seenMs = atMs;
             } catch (final IOException e) {
-                // What stood before goes on standing; it is looked at again the next time.
-                Log.info("orders: cannot read: " + e.getMessage());
+                // The previous orders stay in force; the file is read again the next time.
+                Log.info("orders: cannot read the file: " + e.getMessage());
             }
         }
         return standing;
     }
 
-    /** Changes the orders; they are in force, and kept, when this returns. */
+    /**
+     * Changes the orders. They are stored and in force when this returns.
+     *
+     * @throws IOException if they cannot be stored
+     */
     void change(final UnaryOperator<Standing> step) throws IOException {
         synchronized (changing) {
             Files.createDirectories(folder);
@@ -104,7 +111,7 @@
         }
         final Path fresh = folder.resolve(NEXT_FILE);
         Files.write(fresh, lines, StandardCharsets.UTF_8);
-        // Each version has a time of its own, by which the others notice it.
+        // Each version has a different modification time, by which the other processes notice it.
         final long atMs = Math.max(System.currentTimeMillis(), Math.max(0, seenMs) + 1);
         Files.setLastModifiedTime(fresh, FileTime.fromMillis(atMs));
         Files.move(fresh, file.toPath(), StandardCopyOption.ATOMIC_MOVE);
--- a/src/main/java/driftchute/node/Predecessor.java
+++ b/src/main/java/driftchute/node/Predecessor.java
@@ -11,18 +11,18 @@
 import java.util.Map;
 
 /**
- * The journal of an earlier process of this courier, which may still be writing it: it is read as it grows, until that
+ * The journal of an earlier process of this courier, which may still write to it. It is read as it grows, until that
  * process is gone.
  */
 final class Predecessor {
-    /** Ends the name of the file that a compaction writes ({@link Journal}). */
+    /** Suffix of the file that a compaction writes ({@link Journal}). */
     private static final String NEXT = ".next";
 
     private final Path path;
     private final Lock lock;
     private final FileChannel file;
     private final JournalReader reader;
-    /** Calls that it has out, by destination, as it last told. */
+    /** Calls it has in flight, by destination, as last reported. */
     private final Map<Long, Integer> callsOut = new HashMap<>();
 
     private boolean gone;
@@ -34,37 +34,42 @@
         this.reader = new JournalReader(file);
     }
 
-    /** Reads on; true if there is news, its process's end included. */
+    /** Reads more; true if there is news, including the end of the process. */
     boolean poll() throws IOException {
-        // The lock first: what is read once its process is gone is all that there will ever be.
+        // Take the lock first: what is read after its process is gone is complete.
         final boolean ended = !gone && lock.take();
         gone |= ended;
         return reader.read() || ended;
     }
 
-    /** True once its process is gone and all is read. */
+    /** True once its process is gone and everything is read. */
     boolean isGone() {
         return gone;
     }
 
-    /** What it told since this was last asked. */
+    /** The destination states that were reported since the last call. */
     List<Courier.Memory> takeMemories() {
         final List<Courier.Memory> news = reader.takeMemories();
         news.forEach(memory -> callsOut.put(memory.destination(), memory.callsOut()));
         return news;
     }
 
-    /** True while its file says that a message of that id is owed an end, whoever goes on with it. */
+    /**
+     * True while its file has an open message or unconfirmed notice of that id, whichever process continues with it.
+     */
     boolean holds(final String id) {
         return reader.live().containsKey(id);
     }
 
-    /** Calls that it has out at a destination; none once it is gone. */
+    /** Its calls in flight at a destination; none once it is gone. */
     int callsOut(final long destination) {
         return gone ? 0 : callsOut.getOrDefault(destination, 0);
     }
 
-    /** Up to when all is known that its calls were told, Unix us; for ever where it has none out, or never says. */
+    /**
+     * Time up to which all answers to its calls are known, Unix us; {@code Long.MAX_VALUE} if it has no calls in flight
+     * or never records this.
+     */
     long heardWallUs() {
         final boolean out = !gone && callsOut.values().stream().anyMatch(calls -> calls > 0);
         return out && reader.heardWallUs() != JournalReader.NEVER_HEARD ? reader.heardWallUs() : Long.MAX_VALUE;
@@ -74,10 +79,11 @@
         return reader;
     }
 
-    /** Nothing in it is owed any more. */
+    /** Removes its files, which hold nothing open any more. */
     void remove() throws IOException {
         file.close();
-        // What a kill in its compaction left; first, since nobody would look for it without the file itself.
+        // Left by a kill during its compaction. Deleted first, because nobody would look for it without the journal
+        // itself.
         Files.deleteIfExists(path.resolveSibling(path.getFileName() + NEXT));
         Files.deleteIfExists(path);
         lock.close();
--- a/src/main/java/driftchute/node/Rehearsal.java
+++ b/src/main/java/driftchute/node/Rehearsal.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 
 /**
- * One run of a courier at the build, so that the Java machine can write down the classes that it loads: a courier that
- * finds them prepared is ready, after a restart too, in a fraction of the time. It serves as its own discovery and
- * endpoint, which answer that they know of nothing.
+ * A training run of a courier during the build, for the JVM's class data sharing: a courier whose classes are archived
+ * is ready in a fraction of the time, also after a restart. It acts as its own discovery and endpoint, which answer
+ * 404.
  */
 public final class Rehearsal {
     private static final String ADDRESS = "127.0.0.1";
@@ -22,7 +22,7 @@
 
     private Rehearsal() {}
 
-    /** Runs a courier in the folder given, hands in one message, and ends. */
+    /** Runs a courier in the given folder, submits one message, and exits. */
     public static void main(final String[] args) throws IOException, InterruptedException, Config.BadConfigException {
         final Path folder = Files.createDirectories(Path.of(args[0]));
         final int port;
@@ -45,7 +45,7 @@
                   "extra":{"calls_out":4,"per_call":[5],"routes_apart":[false]},
                   "limits":{"max_open":9,"most_tries":2,"idle_close":1000000}}}
                 """.formatted(own, ADDRESS + ":" + mgmtPort, own, own));
-        // Its own discovery never answers with a list.
+        // Loads the parser's classes: this discovery never answers with a list.
         new JsonValues(list -> {}).read(Files.readAllBytes(config));
         Main.start(Map.of(
                 "PROXY_CONFIG",
