--- a/src/main/java/driftchute/bench/Main.java
+++ b/src/main/java/driftchute/bench/Main.java
@@ -7,7 +7,7 @@
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 
-/** Starts the bench's adapter: {@code java -jar driftchute.jar benchlink}. */
+/** Starts the simulator's adapter: {@code java -jar driftchute.jar benchlink}. */
 public final class Main {
 
     private static final int BUFFER_CHARS = 1 << 16;
--- a/src/main/java/driftchute/bench/MalformedLineException.java
+++ b/src/main/java/driftchute/bench/MalformedLineException.java
@@ -1,6 +1,6 @@
 package driftchute.bench;
 
-/** A line of the wire or a setting that cannot be read; its message names where it stands and the reason. */
+/** Thrown for an invalid line or setting. The message names its place and the reason. */
 public final class MalformedLineException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/driftchute/drill/Fault.java
+++ b/src/main/java/driftchute/drill/Fault.java
@@ -3,17 +3,17 @@
 import java.util.Locale;
 
 /**
- * What a relay does to what passes it, switchable while it runs. Read from one line of words, as a drill's operator
- * types them: {@code pass}, {@code delay MS}, {@code drop FRACTION}, {@code reset}, {@code blackhole},
- * {@code halfclose}; for datagrams also {@code loss FRACTION}, {@code duplicate FRACTION}, {@code reorder FRACTION}.
- * The faults are those that PROTOCOL-irishead.md, section The network, says a real network shows.
+ * What a relay does to its traffic; can be changed while it runs. Parsed from one line as typed by an operator: {@code
+ * pass}, {@code delay MS}, {@code drop FRACTION}, {@code reset}, {@code blackhole}, {@code halfclose}; for datagrams
+ * also {@code loss FRACTION}, {@code duplicate FRACTION}, {@code reorder FRACTION}. These are the faults of a real
+ * network according to PROTOCOL-irishead.md, section The network.
  *
- * @param kind what is done
- * @param delayMs how long each piece is held, ms (0 or more)
- * @param fraction the share of pieces (TCP reads, datagrams) that it strikes, 0 to 1
+ * @param kind the kind of fault
+ * @param delayMs delay of each piece, ms (0 or more)
+ * @param fraction the affected share of pieces (TCP reads, datagrams), 0 to 1
  */
 public record Fault(Kind kind, long delayMs, double fraction) {
-    /** The kinds of fault. */
+    /** The kinds of fault. Parsed by name. */
     public enum Kind {
         PASS,
         DELAY,
@@ -29,7 +29,7 @@
     public static final Fault PASS = new Fault(Kind.PASS, 0, 0);
 
     /**
-     * Checks the figures.
+     * Checks the values.
      *
      * @throws IllegalArgumentException for a negative delay or a fraction outside 0 to 1
      */
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Reads one line, such as {@code delay 200} or {@code loss 0.2}.
+     * Parses one line, such as {@code delay 200} or {@code loss 0.2}.
      *
-     * @throws IllegalArgumentException with the reason, for an unknown word or a missing or bad figure
+     * @throws IllegalArgumentException with the reason, for an unknown word or a missing or invalid number
      */
     public static Fault parse(final String line) {
         final String[] words = line.trim().split("\\s+");
--- a/src/main/java/driftchute/drill/TcpRelay.java
+++ b/src/main/java/driftchute/drill/TcpRelay.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A TCP relay on loopback that carries each connection to one address and does a {@link Fault} to it: delay, drop of
- * bytes, reset, black hole (connections stay open and silent) or half-close (the answer side ends). Blocking sockets,
- * two threads a connection: it is for drills and tests of a few hundred connections, not for traffic.
+ * A TCP relay on loopback that forwards each connection to one address and applies a {@link Fault} to it: delay,
+ * dropped bytes, reset, black hole (connections stay open and silent) or half-close (the answer direction ends). It
+ * uses blocking sockets and two threads per connection, for drills and tests with a few hundred connections.
  */
 public final class TcpRelay implements AutoCloseable {
     private static final int BUFFER = 8192;
@@ -27,11 +27,11 @@
     private volatile Fault fault = Fault.PASS;
 
     /**
-     * Listens on a loopback port of the system's choice.
+     * Listens on a loopback port chosen by the system.
      *
-     * @param to where every connection goes
-     * @param seed for the choice of what a fraction strikes
-     * @throws IOException where it cannot listen
+     * @param to the address that all connections are forwarded to
+     * @param seed selects what a fraction affects
+     * @throws IOException if it cannot listen
      */
     public TcpRelay(final InetSocketAddress to, final long seed) throws IOException {
         this.to = to;
@@ -40,14 +40,14 @@
         daemon("accept", this::accept);
     }
 
-    /** Where to connect to reach {@code to} through the relay, as {@code host:port}. */
+    /** The address of the relay, as {@code host:port}. */
     public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
     /**
-     * From now on, for what passes next on every connection; {@link Fault.Kind#RESET} also resets the open
-     * connections at once.
+     * Sets the fault for everything that passes from now on. {@link Fault.Kind#RESET} also resets the open connections
+     * at once.
      */
     public void set(final Fault next) {
         fault = next;
@@ -85,7 +85,7 @@
         pump(upstream, client, true);
     }
 
-    /** Copies one direction until it ends; {@code answers} is the direction towards who connected. */
+    /** Copies one direction until it ends. {@code answers}: the direction towards the connecting side. */
     private void pump(final Socket from, final Socket into, final boolean answers) {
         final byte[] buffer = new byte[BUFFER];
         try {
@@ -140,7 +140,7 @@
                 socket.close();
             }
         } catch (final IOException e) {
-            // Already gone: that is what was wanted.
+            // The socket is already closed.
         }
     }
 
