--- a/src/main/java/driftchute/Courier.java
+++ b/src/main/java/driftchute/Courier.java
@@ -22,16 +22,16 @@
     }
 
     /** How a message's value falls between its target time and its deadline. */
-    enum Fade {
+    enum ValueDecay {
         LINEAR,
         HALVING
     }
 
     /** What an endpoint's weight in the list says about its destination's rate limit. */
-    enum Weights {
+    enum LimitHint {
         NONE,
-        NOMINAL,
-        ROUGH
+        EXACT,
+        APPROXIMATE
     }
 
     /** How an attempt ended. */
@@ -46,12 +46,12 @@
         NOT_SENT;
 
         /** True if the message certainly had no effect, so that another attempt is harmless. */
-        public boolean neverRan() {
+        public boolean neverExecuted() {
             return this == REFUSED || this == NO_CONNECTION || this == NOT_SENT;
         }
 
         /** True if the destination answered, so that the attempt is no longer running. */
-        public boolean ended() {
+        public boolean isAnswered() {
             return this == DELIVERED || this == ERROR;
         }
     }
@@ -82,10 +82,10 @@
             String name,
             Effect effect,
             boolean zoneKeyed,
-            boolean inTurn,
-            double worth,
-            double lateWorth,
-            long aimUs,
+            boolean ordered,
+            double value,
+            double lateValue,
+            long targetUs,
             long deadlineUs,
             long keyWindowUs) {}
 
@@ -95,23 +95,23 @@
     record Tenant(String name, double quotaPerSecond) {}
 
     /** A kind of destination. {@code separateRoutes}: every endpoint has its own limits, waits and outages. */
-    record Kind(String name, boolean routesApart, int messagesPerCall) {}
+    record DestinationKind(String name, boolean separateRoutes, int messagesPerCall) {}
 
     /**
      * The figures of the protocol's rules: how soon the list must be requested, the capacity share of a cold
      * destination and its warm-up time, the multiple of its capacity that overloads a destination, and how long a key
      * rests after an attempt without an answer.
      */
-    record Guarantees(long mustAskUs, double coldFrom, long coldUs, double tipMultiple, long orderSettleUs) {}
+    record Guarantees(long listRequestDueUs, double coldCapacityShare, long warmUpUs, double overloadMultiple, long orderRestUs) {}
 
     /** The resources this courier may use. */
     record Limits(
             int slots,
-            int maxOpen,
-            int mostAttempts,
-            boolean mayCancel,
-            long idleCloseUs,
-            int multiplex,
+            int maxOpenMessages,
+            int maxAttempts,
+            boolean canCancel,
+            long idleTimeoutUs,
+            int callsPerConnection,
             long maxRetryAfterUs) {}
 
     /** All settings that a courier gets at start. */
@@ -119,11 +119,11 @@
             int couriers,
             String zone,
             boolean listOnRequest,
-            Weights weights,
-            Fade fade,
+            LimitHint limitHint,
+            ValueDecay valueDecay,
             List<MessageClass> classes,
             List<Tenant> tenants,
-            List<Kind> kinds,
+            List<DestinationKind> destinationKinds,
             Guarantees guarantees,
             Limits limits) {
         /**
@@ -134,16 +134,16 @@
         public Settings {
             require(couriers >= 1, "a fleet has at least one courier, not " + couriers);
             require(limits.slots() >= 1, "a courier needs at least one slot, not " + limits.slots());
-            require(limits.maxOpen() >= 1, "a store holds at least one message, not " + limits.maxOpen());
-            require(limits.mostAttempts() >= 1, "a message needs at least one attempt, not " + limits.mostAttempts());
-            require(guarantees.tipMultiple() > 0, "the overload multiple must be above 0, not " + guarantees.tipMultiple());
-            for (final MessageClass kind : classes) {
-                require(kind.aimUs() <= kind.deadlineUs(), kind.name() + ": its target time is later than its deadline");
+            require(limits.maxOpenMessages() >= 1, "a store holds at least one message, not " + limits.maxOpenMessages());
+            require(limits.maxAttempts() >= 1, "a message needs at least one attempt, not " + limits.maxAttempts());
+            require(guarantees.overloadMultiple() > 0, "the overload multiple must be above 0, not " + guarantees.overloadMultiple());
+            for (final MessageClass messageClass : classes) {
+                require(messageClass.targetUs() <= messageClass.deadlineUs(), messageClass.name() + ": its target time is later than its deadline");
             }
         }
 
-        private static void require(final boolean kept, final String problem) {
-            if (!kept) {
+        private static void require(final boolean condition, final String problem) {
+            if (!condition) {
                 throw new IllegalArgumentException(problem);
             }
         }
@@ -163,10 +163,10 @@
      * one at {@code firstExecutionUs} (on the clock of the events, possibly before it started) in {@code
      * executionZone}.
      */
-    record Past(int attempts, boolean mayHaveRun, long firstRunUs, String runZone) {}
+    record MessageHistory(int attempts, boolean mayHaveExecuted, long firstExecutionUs, String executionZone) {}
 
     /** The rate limit that a destination reported: the unused share, and calls per second (0: no limit). */
-    record Allowance(double shareLeft, double callsPerSecond) {}
+    record ReportedLimit(double unusedShare, double callsPerSecond) {}
 
     /**
      * The outcome of an attempt. {@code isFinal}: the message has its final answer. {@code waitUs}: the wait that the
@@ -175,24 +175,24 @@
     record Outcome(
             String messageId,
             Result result,
-            boolean over,
+            boolean isFinal,
             long endpoint,
             long durationUs,
             long waitUs,
-            Allowance allowance) {}
+            ReportedLimit reportedLimit) {}
 
     /**
      * State of a route's circuit breaker: closed (normal traffic), open (single probes only), or slow start after an
      * outage.
      */
-    enum Phase {
-        WELL("WELL"),
-        OUT("OUT"),
-        RAMP("RAMP");
+    enum CircuitState {
+        CLOSED("WELL"),
+        OPEN("OUT"),
+        SLOW_START("RAMP");
 
         private final String logName;
 
-        Phase(final String logName) {
+        CircuitState(final String logName) {
             this.logName = logName;
         }
 
@@ -206,60 +206,60 @@
      * What a process has learnt about a destination, for its successor. {@code callsInFlight}: calls of that process
      * that are still in flight there. A time that does not apply is {@code Long.MAX_VALUE}.
      */
-    record Memory(
+    record DestinationState(
             long destination,
-            int callsOut,
-            Phase phase,
+            int callsInFlight,
+            CircuitState circuit,
             long waitUntilUs,
             long pauseUntilUs,
-            long troubleFromUs,
-            long rampFromUs,
-            double rampSpanUs,
+            long troubleSinceUs,
+            long slowStartSinceUs,
+            double slowStartIntervalUs,
             double window,
-            double rate,
+            double messageRate,
             double callRate,
             double limit,
-            double shareLeft,
-            double spacing,
+            double unusedShare,
+            double maxSendRate,
             double pace) {
 
         /** A copy with another number of calls in flight. */
-        public Memory withCallsOut(final int calls) {
-            return new Memory(
+        public DestinationState withCallsInFlight(final int calls) {
+            return new DestinationState(
                     destination,
                     calls,
-                    phase,
+                    circuit,
                     waitUntilUs,
                     pauseUntilUs,
-                    troubleFromUs,
-                    rampFromUs,
-                    rampSpanUs,
+                    troubleSinceUs,
+                    slowStartSinceUs,
+                    slowStartIntervalUs,
                     window,
-                    rate,
+                    messageRate,
                     callRate,
                     limit,
-                    shareLeft,
-                    spacing,
+                    unusedShare,
+                    maxSendRate,
                     pace);
         }
 
         /** A copy converted to a clock that is {@code aheadUs} ahead. */
-        public Memory onClock(final long aheadUs) {
-            return new Memory(
+        public DestinationState onClock(final long aheadUs) {
+            return new DestinationState(
                     destination,
-                    callsOut,
-                    phase,
+                    callsInFlight,
+                    circuit,
                     waitUntilUs + aheadUs,
                     pauseUntilUs + aheadUs,
-                    troubleFromUs == Long.MAX_VALUE ? troubleFromUs : troubleFromUs + aheadUs,
-                    rampFromUs + aheadUs,
-                    rampSpanUs,
+                    troubleSinceUs == Long.MAX_VALUE ? troubleSinceUs : troubleSinceUs + aheadUs,
+                    slowStartSinceUs + aheadUs,
+                    slowStartIntervalUs,
                     window,
-                    rate,
+                    messageRate,
                     callRate,
                     limit,
-                    shareLeft,
-                    spacing,
+                    unusedShare,
+                    maxSendRate,
                     pace);
         }
     }
@@ -268,18 +268,18 @@
      * This courier's share of a destination's rate limit until {@code expiresAtUs}. After that the courier has its even
      * part of the reserve.
      */
-    record Ration(double callsPerSecond, long untilUs) {}
+    record RateLease(double callsPerSecond, long expiresAtUs) {}
 
     /** What the couriers of the tier have agreed about a destination's health. */
-    enum Standing {
-        WELL("WELL"),
+    enum TierHealth {
+        HEALTHY("WELL"),
         SUSPECTED("SUSPECTED"),
-        OUT("OUT"),
-        BACK("BACK");
+        DOWN("OUT"),
+        RECOVERED("BACK");
 
         private final String logName;
 
-        Standing(final String logName) {
+        TierHealth(final String logName) {
             this.logName = logName;
         }
 
@@ -295,13 +295,13 @@
      * until then this courier may make one probe call while the destination is down; {@code Long.MAX_VALUE} means that
      * nobody assigns probes, so each courier makes its own.
      */
-    record Verdict(Standing standing, long sinceUs, long shutUntilUs, long staleAtUs, long trialUntilUs) {}
+    record Verdict(TierHealth health, long sinceUs, long closedUntilUs, long expiresAtUs, long probeUntilUs) {}
 
     /**
      * The shared state of the tier as this courier knows it. {@code reservedShare}: the share of every limit that is
      * never leased but divided evenly among all couriers. Times are on the clock of the events.
      */
-    record FleetView(double reserve, Map<Long, Ration> rations, Map<Long, Verdict> verdicts) {}
+    record FleetView(double reservedShare, Map<Long, RateLease> rateLeases, Map<Long, Verdict> verdicts) {}
 
     /**
      * What this courier knows and needs of a destination, for its peers: the reported limit in calls per second (0:
@@ -309,16 +309,16 @@
      * of failed calls since the trouble began and when that was ({@code Long.MAX_VALUE}: no trouble), the time of the
      * last delivery (0: never), and until when the destination announced to be closed.
      */
-    record Report(
+    record DestinationReport(
             long destination,
             double limit,
             double callsPerSecond,
-            int waiting,
-            Phase phase,
-            int failed,
-            long troubleFromUs,
-            long servedUs,
-            long shutUntilUs) {}
+            int waitingCalls,
+            CircuitState circuit,
+            int failedCalls,
+            long troubleSinceUs,
+            long lastServedUs,
+            long closedUntilUs) {}
 
     /** The actions that the decisions may request from the host. */
     interface Actions {
@@ -335,17 +335,17 @@
         void cancel(String messageId, int attempt);
 
         /** Closes this courier's idle connections to an endpoint, before the actions that follow. */
-        void closeIdle(long endpoint);
+        void closeIdleConnections(long endpoint);
 
         /** Subscribes to changes of the list. */
-        void follow();
+        void followList();
 
         /** Requests a call of {@link Courier#decide} after a delay, unless it is called earlier anyway. */
         void wake(long delayUs);
     }
 
     /** The list changed, or could not be fetched. */
-    void onList(long nowUs, Update update, List<Endpoint> entries);
+    void onListUpdate(long nowUs, Update update, List<Endpoint> entries);
 
     /** A message was accepted. */
     void onMessage(long nowUs, Message message);
@@ -353,28 +353,28 @@
     /**
      * A message that an earlier process of this courier accepted is held again. Reported in the order of acceptance.
      */
-    void onResumed(long nowUs, Message message, Past past);
+    void onResumed(long nowUs, Message message, MessageHistory past);
 
     /** This process ends at {@code stopUs}. Its successor goes on with what is still held then. */
     void onStopping(long nowUs, long stopUs);
 
     /** Exports what has been learnt about each destination whose routes are not separate. */
-    List<Memory> memories();
+    List<DestinationState> exportState();
 
     /**
      * Imports what the predecessor process has learnt about a destination. Reported again while the predecessor still
      * has calls in flight there: the two processes count as one courier.
      */
-    void onMemory(long nowUs, Memory memory);
+    void onPredecessorState(long nowUs, DestinationState memory);
 
     /**
      * The predecessor's state is known recently enough until {@code freshUntilUs}. After that no new call goes to a
      * destination where the predecessor has calls in flight, because each of their answers may ask for a wait.
      */
-    void onHeard(long nowUs, long freshUntilUs);
+    void onPredecessorFresh(long nowUs, long freshUntilUs);
 
     /** The predecessor process has no calls in flight any more. */
-    void onAlone(long nowUs);
+    void onPredecessorGone(long nowUs);
 
     /** An attempt ended. */
     void onOutcome(long nowUs, Outcome outcome);
@@ -383,22 +383,22 @@
      * The complete set of endpoints that the operators have disabled. They get no new calls. An endpoint that is no
      * longer in the set is enabled again.
      */
-    void onBarred(long nowUs, Set<Long> endpoints);
+    void onEndpointsDisabled(long nowUs, Set<Long> endpoints);
 
     /**
      * The shared state of the tier changed. Never called if the couriers share nothing. It can lower the send rate or
      * end a verdict, but never raises the rate above the limit that this courier was told itself.
      */
-    void onFleet(long nowUs, FleetView view);
+    void onFleetView(long nowUs, FleetView view);
 
     /**
      * Reports what this courier knows and needs of each destination that it uses or that is not healthy, except where
      * routes are separate.
      */
-    List<Report> reports(long nowUs);
+    List<DestinationReport> reports(long nowUs);
 
     /** A message was withdrawn. It needs no answer. */
-    void onExpired(long nowUs, String messageId);
+    void onWithdrawn(long nowUs, String messageId);
 
     /** Acts on all events reported so far, or on a wake-up that fell due. */
     void decide(long nowUs);
--- a/src/main/java/driftchute/bench/SettingsReader.java
+++ b/src/main/java/driftchute/bench/SettingsReader.java
@@ -16,18 +16,18 @@
      * @throws MalformedLineException for an invalid value
      */
     public static Courier.Settings read(final Fields fields) {
-        final Courier.Weights weights =
+        final Courier.LimitHint weights =
                 switch (fields.text("weights", "none")) {
-                    case "nominal" -> Courier.Weights.NOMINAL;
-                    case "rough" -> Courier.Weights.ROUGH;
-                    default -> Courier.Weights.NONE;
+                    case "nominal" -> Courier.LimitHint.EXACT;
+                    case "rough" -> Courier.LimitHint.APPROXIMATE;
+                    default -> Courier.LimitHint.NONE;
                 };
         return new Courier.Settings(
                 (int) fields.whole("balancers", 1),
                 fields.text("my_zone", ""),
                 fields.text("discovery", "pushed").equals("on_request"),
                 weights,
-                fields.text("extra.fades", "linear").equals("halving") ? Courier.Fade.HALVING : Courier.Fade.LINEAR,
+                fields.text("extra.fades", "linear").equals("halving") ? Courier.ValueDecay.HALVING : Courier.ValueDecay.LINEAR,
                 classes(fields),
                 tenants(fields),
                 kinds(fields),
@@ -69,13 +69,13 @@
         return tenants;
     }
 
-    private static List<Courier.Kind> kinds(final Fields fields) {
+    private static List<Courier.DestinationKind> kinds(final Fields fields) {
         final String[] names = fields.list("flavors");
         final String[] apart = fields.list("extra.routes_apart");
         final String[] perCall = fields.list("extra.per_call");
-        final List<Courier.Kind> kinds = new ArrayList<>();
+        final List<Courier.DestinationKind> kinds = new ArrayList<>();
         for (int index = 0; index < names.length; index++) {
-            kinds.add(new Courier.Kind(
+            kinds.add(new Courier.DestinationKind(
                     names[index],
                     index < apart.length && apart[index].equals("true"),
                     index < perCall.length ? (int) fields.number(perCall[index]) : 1));
--- a/src/main/java/driftchute/drill/UdpRelay.java
+++ b/src/main/java/driftchute/drill/UdpRelay.java
@@ -21,7 +21,7 @@
  * forwarded unchanged, for the receiver to reject.
  */
 public final class UdpRelay implements AutoCloseable {
-    private static final int MOST = 65_535;
+    private static final int MAX = 65_535;
     private final DatagramSocket socket;
     /** The socket that it sends from: its own, or that of the other relay of a pair. */
     private final DatagramSocket exit;
@@ -94,7 +94,7 @@
 
     private void carry() {
         while (!socket.isClosed()) {
-            final DatagramPacket in = new DatagramPacket(new byte[MOST], MOST);
+            final DatagramPacket in = new DatagramPacket(new byte[MAX], MAX);
             try {
                 socket.receive(in);
             } catch (final IOException e) {
--- a/src/main/java/driftchute/fleet/Codec.java
+++ b/src/main/java/driftchute/fleet/Codec.java
@@ -14,7 +14,7 @@
  */
 public final class Codec {
     /** Maximum size of a datagram, bytes. A longer one violates the protocol. */
-    public static final int MOST_BYTES = 256;
+    public static final int MAX_BYTES = 256;
     /** Version of the frames that this release writes. */
     static final int VERSION = 1;
     /** Size of the version and the epoch, bytes. */
@@ -22,7 +22,7 @@
     /** Size of the type and length before each body, bytes. */
     static final int PREFIX = 2;
     /** Maximum body of a message that has a datagram to itself, bytes. */
-    public static final int MOST_BODY = MOST_BYTES - HEADER - PREFIX;
+    public static final int MAX_BODY = MAX_BYTES - HEADER - PREFIX;
 
     private static final int BYTE = 0xFF;
 
@@ -52,8 +52,8 @@
      */
     public byte[] encode(final List<Message> messages) {
         final int size = HEADER + messages.stream().mapToInt(Codec::sizeOf).sum();
-        if (size > MOST_BYTES) {
-            throw new IllegalArgumentException("a datagram of " + size + " bytes; " + MOST_BYTES + " is the maximum");
+        if (size > MAX_BYTES) {
+            throw new IllegalArgumentException("a datagram of " + size + " bytes; " + MAX_BYTES + " is the maximum");
         }
         final ByteBuffer into = ByteBuffer.allocate(size);
         into.put((byte) VERSION).putInt(epoch);
@@ -75,7 +75,7 @@
 
     /** The messages of a datagram; none if it is dropped. Messages of unknown types are left out and counted. */
     public List<Message> decode(final byte[] datagram) {
-        if (datagram.length < HEADER || datagram.length > MOST_BYTES) {
+        if (datagram.length < HEADER || datagram.length > MAX_BYTES) {
             return dropped(Drop.LENGTH);
         }
         final ByteBuffer from = ByteBuffer.wrap(datagram);
--- a/src/main/java/driftchute/fleet/FleetBlock.java
+++ b/src/main/java/driftchute/fleet/FleetBlock.java
@@ -28,7 +28,7 @@
         @JsonProperty("drift_ppm") Integer driftPpm,
         @JsonProperty("stale_ms") Integer staleMs,
         @JsonProperty("lanes") List<LaneBlock> lanes) {
-    private static final int MOST_MS = 60_000;
+    private static final int MAX_MS = 60_000;
 
     /**
      * One priority lane.
@@ -74,11 +74,11 @@
     public FleetBlock {
         epoch = bounded("epoch", epoch, 0, 0, Integer.MAX_VALUE);
         version = bounded("version", version, 0, 0, Integer.MAX_VALUE);
-        probeMs = bounded("probe_ms", probeMs, 1000, 100, MOST_MS);
-        leaseMs = bounded("lease_ms", leaseMs, 3000, 300, MOST_MS);
-        rationMs = bounded("ration_ms", rationMs, 1500, 200, MOST_MS);
+        probeMs = bounded("probe_ms", probeMs, 1000, 100, MAX_MS);
+        leaseMs = bounded("lease_ms", leaseMs, 3000, 300, MAX_MS);
+        rationMs = bounded("ration_ms", rationMs, 1500, 200, MAX_MS);
         driftPpm = bounded("drift_ppm", driftPpm, 1000, 0, 100_000);
-        staleMs = bounded("stale_ms", staleMs, 10_000, 1000, 10 * MOST_MS);
+        staleMs = bounded("stale_ms", staleMs, 10_000, 1000, 10 * MAX_MS);
         reserve = reserve == null ? 0.2 : reserve;
         require(reserve > 0 && reserve <= 1, "'reserve' is above 0 and at most 1, not " + reserve);
         lanes = lanes == null ? List.of() : List.copyOf(lanes);
--- a/src/main/java/driftchute/fleet/Mail.java
+++ b/src/main/java/driftchute/fleet/Mail.java
@@ -43,12 +43,12 @@
         final List<Datagram> datagrams = new ArrayList<>();
         waiting.forEach((peer, messages) -> {
             List<Message> frame = new ArrayList<>();
-            int room = Codec.MOST_BYTES - Codec.HEADER;
+            int room = Codec.MAX_BYTES - Codec.HEADER;
             for (final Message message : messages) {
                 if (Codec.sizeOf(message) > room) {
                     datagrams.add(new Datagram(peer, codec.encode(frame)));
                     frame = new ArrayList<>();
-                    room = Codec.MOST_BYTES - Codec.HEADER;
+                    room = Codec.MAX_BYTES - Codec.HEADER;
                 }
                 frame.add(message);
                 room -= Codec.sizeOf(message);
--- a/src/main/java/driftchute/fleet/Plane.java
+++ b/src/main/java/driftchute/fleet/Plane.java
@@ -11,7 +11,7 @@
  */
 public final class Plane {
     /** Maximum number of messages between components of this courier in one turn, to stop endless loops. */
-    private static final int MOST_OWN = 1000;
+    private static final int MAX_OWN = 1000;
 
     /** Sends datagrams. */
     public interface Sender {
@@ -86,7 +86,7 @@
 
     /** Sends the messages collected since the last flush. */
     public void flush(final Moment now) {
-        int left = MOST_OWN;
+        int left = MAX_OWN;
         for (Message own = mail.ownNext(); own != null; own = mail.ownNext()) {
             if (left-- == 0) {
                 throw new IllegalStateException("components of this courier answer each other in an endless loop: " + own);
--- a/src/main/java/driftchute/fleet/Varint.java
+++ b/src/main/java/driftchute/fleet/Varint.java
@@ -6,7 +6,7 @@
 public final class Varint {
     private static final int GROUP = 7;
     private static final int MORE = 0x80;
-    private static final int MOST_BITS = 63;
+    private static final int MAX_BITS = 63;
 
     private Varint() {}
 
@@ -39,7 +39,7 @@
      */
     public static long get(final ByteBuffer from) throws MalformedMessageException {
         long value = 0;
-        for (int shift = 0; shift < MOST_BITS; shift += GROUP) {
+        for (int shift = 0; shift < MAX_BITS; shift += GROUP) {
             final byte next = from.get();
             value |= (long) (next & (MORE - 1)) << shift;
             if (next >= 0) {
--- a/src/main/java/driftchute/fleet/lane/Allocator.java
+++ b/src/main/java/driftchute/fleet/lane/Allocator.java
@@ -15,7 +15,7 @@
     /** How long the same accounts are shed, ms: longer than a client's retries, short compared to its patience. */
     static final long EPOCH_MS = 10_000;
     /** Maximum distance of another allocator's clock, in epochs (a minute). Greater ones are invalid. */
-    private static final long MOST_AHEAD = 6;
+    private static final long MAX_AHEAD = 6;
 
     private final Lanes lanes;
     private final int couriers;
@@ -82,7 +82,7 @@
         final ShedLevel level = new ShedLevel(lanes.shares());
         if (heard != null) {
             level.goOnFrom(heard.level());
-            if (heard.level().epoch() <= epoch + MOST_AHEAD) {
+            if (heard.level().epoch() <= epoch + MAX_AHEAD) {
                 epoch = Math.max(epoch, heard.level().epoch());
             }
         }
--- a/src/main/java/driftchute/fleet/lane/DemandMessage.java
+++ b/src/main/java/driftchute/fleet/lane/DemandMessage.java
@@ -15,7 +15,7 @@
 record DemandMessage(int digest, long destination, List<Long> tenths) implements Message {
     static final int TYPE = 0x50;
     /** Upper bound, ten million messages per second: far beyond one process, and sums over any fleet stay exact. */
-    private static final long MOST_TENTHS = 100_000_000L;
+    private static final long MAX_TENTHS = 100_000_000L;
 
     private static final double TENTHS = 10;
     private static final int FIXED = Integer.BYTES + Long.BYTES + 1;
@@ -29,7 +29,7 @@
                 digest,
                 destination,
                 Arrays.stream(perSecond)
-                        .mapToObj(rate -> Math.min(MOST_TENTHS, Math.max(0, Math.round(rate * TENTHS))))
+                        .mapToObj(rate -> Math.min(MAX_TENTHS, Math.max(0, Math.round(rate * TENTHS))))
                         .toList());
     }
 
@@ -38,7 +38,7 @@
         final long destination = body.getLong();
         final Long[] tenths = new Long[LaneBytes.count(body)];
         for (int i = 0; i < tenths.length; i++) {
-            tenths[i] = LaneBytes.atMost(MOST_TENTHS, body);
+            tenths[i] = LaneBytes.atMost(MAX_TENTHS, body);
         }
         return new DemandMessage(digest, destination, List.of(tenths));
     }
--- a/src/main/java/driftchute/fleet/lane/DemandTable.java
+++ b/src/main/java/driftchute/fleet/lane/DemandTable.java
@@ -9,7 +9,7 @@
 /** The offered load reported by all couriers, by destination. Each report is valid for one lease time. */
 final class DemandTable {
     /** Maximum number of destinations, more than are active at once in any planned fleet. */
-    static final int MOST_DESTINATIONS = 1024;
+    static final int MAX_DESTINATIONS = 1024;
 
     /** One courier's report; {@code perSecond} is null if it uses another configuration. */
     private record Word(double[] perSecond, long untilUs) {}
@@ -29,7 +29,7 @@
 
     /** Stores a courier's offered load; null if it uses another configuration. Returns false if there is no space. */
     boolean put(final long destination, final int courier, final double[] perSecond, final long untilUs) {
-        if (!words.containsKey(destination) && words.size() >= MOST_DESTINATIONS) {
+        if (!words.containsKey(destination) && words.size() >= MAX_DESTINATIONS) {
             return false;
         }
         words.computeIfAbsent(destination, unused -> new HashMap<>()).put(courier, new Word(perSecond, untilUs));
--- a/src/main/java/driftchute/fleet/lane/LaneBytes.java
+++ b/src/main/java/driftchute/fleet/lane/LaneBytes.java
@@ -11,7 +11,7 @@
     /** A number of lanes, 1 to {@link Lanes#MOST}. */
     static int count(final ByteBuffer from) throws MalformedMessageException {
         final int count = from.get();
-        if (count < 1 || count > Lanes.MOST) {
+        if (count < 1 || count > Lanes.MAX) {
             throw new MalformedMessageException(count + " lanes are out of bounds");
         }
         return count;
--- a/src/main/java/driftchute/fleet/lane/LanePart.java
+++ b/src/main/java/driftchute/fleet/lane/LanePart.java
@@ -104,7 +104,7 @@
             return;
         }
         final boolean news = last == null
-                ? heard.size() < DemandTable.MOST_DESTINATIONS
+                ? heard.size() < DemandTable.MAX_DESTINATIONS
                 : message.version().compareTo(last.version) > 0;
         if (!fromHolder || !news || message.level().lanes() != lanes.count()) {
             return;
--- a/src/main/java/driftchute/fleet/lane/Lanes.java
+++ b/src/main/java/driftchute/fleet/lane/Lanes.java
@@ -16,7 +16,7 @@
  */
 public final class Lanes {
     /** Maximum number of lanes: messages take about a byte per lane, and a frame has 256 bytes. */
-    public static final int MOST = 16;
+    public static final int MAX = 16;
     /** Shares are decimal fractions, whose sum of 1 may not be exact in binary. */
     private static final double ROUNDING = 1e-9;
 
@@ -51,7 +51,7 @@
     public static Lanes of(final FleetBlock block, final Courier.Settings settings) {
         final List<LaneBlock> blocks =
                 block.lanes().isEmpty() ? List.of(new LaneBlock("all", null, null, null, null, true)) : block.lanes();
-        require(blocks.size() <= MOST, "at most " + MOST + " lanes, not " + blocks.size());
+        require(blocks.size() <= MAX, "at most " + MAX + " lanes, not " + blocks.size());
         final Set<String> names = new HashSet<>();
         int rest = -1;
         double shares = 0;
--- a/src/main/java/driftchute/fleet/lane/Quota.java
+++ b/src/main/java/driftchute/fleet/lane/Quota.java
@@ -10,7 +10,7 @@
  */
 public final class Quota {
     /** Maximum number of metered accounts, about a megabyte. */
-    static final int MOST_ACCOUNTS = 10_000;
+    static final int MAX_ACCOUNTS = 10_000;
     /** Burst, us: two seconds of the rate, because clients send in bursts and a courier's part is small. */
     private static final long BURST_US = 2_000_000;
     /** Spreads lane numbers over 64 bits: the golden ratio. */
@@ -24,7 +24,7 @@
 
         @Override
         protected boolean removeEldestEntry(final Map.Entry<Long, Gcra> eldest) {
-            return size() > MOST_ACCOUNTS;
+            return size() > MAX_ACCOUNTS;
         }
     };
 
--- a/src/main/java/driftchute/fleet/lane/Shedder.java
+++ b/src/main/java/driftchute/fleet/lane/Shedder.java
@@ -52,7 +52,7 @@
     /** Counts an arriving message, whatever happens to it. Once per message, before {@link #shed}. */
     public void offered(final long nowUs, final long destination, final int lane) {
         LaneState state = states.get(destination);
-        if (state == null && states.size() < DemandTable.MOST_DESTINATIONS) {
+        if (state == null && states.size() < DemandTable.MAX_DESTINATIONS) {
             state = new LaneState(nowUs, lanes.shares(), rationUs);
             states.put(destination, state);
             if (levels.containsKey(destination)) {
--- a/src/main/java/driftchute/fleet/lease/Answer.java
+++ b/src/main/java/driftchute/fleet/lease/Answer.java
@@ -19,7 +19,7 @@
     /** Reply to a propose or renew: accepted. */
     static final int ACCEPTED = 0x25;
     /** Maximum number of roles in a tier, so that a role number takes one byte. */
-    static final int MOST_DUTIES = 128;
+    static final int MAX_DUTIES = 128;
 
     @Override
     public int size() {
@@ -39,7 +39,7 @@
 
     static int dutyIn(final ByteBuffer body) throws MalformedMessageException {
         final long duty = Varint.get(body);
-        if (duty >= MOST_DUTIES) {
+        if (duty >= MAX_DUTIES) {
             throw new MalformedMessageException("invalid role number " + duty);
         }
         return (int) duty;
--- a/src/main/java/driftchute/fleet/lease/Leases.java
+++ b/src/main/java/driftchute/fleet/lease/Leases.java
@@ -76,8 +76,8 @@
             final long seed,
             final Moment start,
             final Events events) {
-        if (duties.isEmpty() || duties.size() > Answer.MOST_DUTIES) {
-            throw new IllegalArgumentException("1 to " + Answer.MOST_DUTIES + " roles are required, not " + duties.size());
+        if (duties.isEmpty() || duties.size() > Answer.MAX_DUTIES) {
+            throw new IllegalArgumentException("1 to " + Answer.MAX_DUTIES + " roles are required, not " + duties.size());
         }
         final SplittableRandom random = new SplittableRandom(seed);
         this.tier = tier;
--- a/src/main/java/driftchute/fleet/lease/Proposer.java
+++ b/src/main/java/driftchute/fleet/lease/Proposer.java
@@ -19,7 +19,7 @@
      */
     private static final int FAREWELLS = 3;
     /** Maximum number of doublings of the delay after failed attempts, from a sixteenth of a lease to a whole one. */
-    private static final int MOST_DOUBLINGS = 4;
+    private static final int MAX_DOUBLINGS = 4;
 
     private final Seat seat;
     private final Acceptor acceptor;
@@ -218,7 +218,7 @@
     private void fail(final Moment now, final Outbox out) {
         final long lockedUs = attempt.majorityLockedUs();
         final long base = seat.terms().againUs() << failures;
-        failures = Math.min(MOST_DOUBLINGS, failures + 1);
+        failures = Math.min(MAX_DOUBLINGS, failures + 1);
         drop(now, out);
         tryAtUs = now.monoUs() + (lockedUs > 0 ? lockedUs + seat.delayUs(random) : base / 2 + random.nextLong(base));
     }
--- a/src/main/java/driftchute/fleet/lease/Terms.java
+++ b/src/main/java/driftchute/fleet/lease/Terms.java
@@ -11,11 +11,11 @@
     private static final long MS = 1000;
     private static final long MILLION = 1_000_000;
     /** In a shorter lease, an attempt (a quarter of it) has no time for two round trips. */
-    private static final long LEAST_US = 20 * MS;
+    private static final long MIN_US = 20 * MS;
 
-    private static final long MOST_US = 3600 * MILLION;
+    private static final long MAX_US = 3600 * MILLION;
     /** The configuration's upper bound, 10%. */
-    private static final int MOST_DRIFT_PPM = 100_000;
+    private static final int MAX_DRIFT_PPM = 100_000;
 
     /**
      * Durations that are safe if each clock deviates from true time by at most so many millionths: with drift d, the
@@ -24,11 +24,11 @@
      * @throws IllegalArgumentException for a lease outside 20 ms to 1 h or a drift outside 0 to 100,000
      */
     static Terms of(final long leaseUs, final int driftPpm) {
-        if (leaseUs < LEAST_US || leaseUs > MOST_US) {
-            throw new IllegalArgumentException("a lease must be " + LEAST_US + " to " + MOST_US + " us, not " + leaseUs);
+        if (leaseUs < MIN_US || leaseUs > MAX_US) {
+            throw new IllegalArgumentException("a lease must be " + MIN_US + " to " + MAX_US + " us, not " + leaseUs);
         }
-        if (driftPpm < 0 || driftPpm > MOST_DRIFT_PPM) {
-            throw new IllegalArgumentException("the drift must be 0 to " + MOST_DRIFT_PPM + " ppm, not " + driftPpm);
+        if (driftPpm < 0 || driftPpm > MAX_DRIFT_PPM) {
+            throw new IllegalArgumentException("the drift must be 0 to " + MAX_DRIFT_PPM + " ppm, not " + driftPpm);
         }
         final long whole = leaseUs / MS * MS;
         final long margin = (2 * whole * driftPpm + MILLION - 1) / MILLION;
--- a/src/main/java/driftchute/fleet/membership/Claim.java
+++ b/src/main/java/driftchute/fleet/membership/Claim.java
@@ -7,7 +7,7 @@
 /** A claim about a courier: the state of one of its incarnations. Later incarnations outrank earlier ones. */
 record Claim(State state, long incarnation) implements Comparable<Claim> {
     /** Higher incarnations are refused. A real one grows by one per start or refutation. */
-    static final long MOST_INCARNATION = 1L << 48;
+    static final long MAX_INCARNATION = 1L << 48;
     /** The claim about a courier that nobody has heard of. */
     static final Claim NOTHING = new Claim(State.UNKNOWN, 0);
 
@@ -34,7 +34,7 @@
         final long packed = Varint.get(from);
         final int state = (int) (packed & (1 << STATE_BITS) - 1);
         final long incarnation = packed >>> STATE_BITS;
-        if (state >= STATES.length || incarnation > MOST_INCARNATION || state == 0 != (incarnation == 0)) {
+        if (state >= STATES.length || incarnation > MAX_INCARNATION || state == 0 != (incarnation == 0)) {
             throw new MalformedMessageException("invalid state " + state + " of an incarnation " + incarnation);
         }
         return state == 0 ? NOTHING : new Claim(STATES[state], incarnation);
--- a/src/main/java/driftchute/fleet/membership/LocalHealth.java
+++ b/src/main/java/driftchute/fleet/membership/LocalHealth.java
@@ -6,12 +6,12 @@
  */
 final class LocalHealth {
     /** The paper's saturation value. A higher one would make a courier useless for long after long trouble. */
-    static final int MOST = 8;
+    static final int MAX = 8;
 
     private int score;
 
     void worse() {
-        score = Math.min(MOST, score + 1);
+        score = Math.min(MAX, score + 1);
     }
 
     void better() {
--- a/src/main/java/driftchute/fleet/membership/Members.java
+++ b/src/main/java/driftchute/fleet/membership/Members.java
@@ -18,7 +18,7 @@
  */
 final class Members {
     /** Maximum distance of a claimed incarnation above the one heard first hand. */
-    static final long MOST_JUMP = 1L << 20;
+    static final long MAX_JUMP = 1L << 20;
     /** Size of the type and length before a message's body, bytes. */
     private static final int PREFIX = 2;
 
@@ -42,7 +42,7 @@
             final LocalHealth health,
             final Events events,
             final LongConsumer keep) {
-        if (incarnation < 1 || incarnation >= Claim.MOST_INCARNATION) {
+        if (incarnation < 1 || incarnation >= Claim.MAX_INCARNATION) {
             throw new IllegalArgumentException("invalid initial incarnation " + incarnation);
         }
         this.tier = tier;
@@ -102,7 +102,7 @@
     void spoken(final int id, final long incarnation) {
         final Member member = members.get(id);
         final Claim alive = new Claim(State.ALIVE, incarnation);
-        if (member.claim.incarnation() - incarnation > MOST_JUMP) {
+        if (member.claim.incarnation() - incarnation > MAX_JUMP) {
             refused++;
             member.heard = incarnation;
             changed(member, alive, id);
@@ -129,7 +129,7 @@
             toldOfSelf(nowUs, claim, by);
             return false;
         }
-        if (member.heard >= 0 && claim.incarnation() - member.heard > MOST_JUMP) {
+        if (member.heard >= 0 && claim.incarnation() - member.heard > MAX_JUMP) {
             refused++;
             return false;
         }
@@ -152,8 +152,8 @@
         if (hasLeft() || claim.incarnation() < incarnation() || !accused && claim.incarnation() == incarnation()) {
             return;
         }
-        if (claim.incarnation() - incarnation() > MOST_JUMP
-                || claim.incarnation() >= Claim.MOST_INCARNATION
+        if (claim.incarnation() - incarnation() > MAX_JUMP
+                || claim.incarnation() >= Claim.MAX_INCARNATION
                 || nowUs < mayRaiseUs) {
             refused++;
             return;
--- a/src/main/java/driftchute/fleet/membership/Membership.java
+++ b/src/main/java/driftchute/fleet/membership/Membership.java
@@ -22,7 +22,7 @@
  * it. Implausible claims are refused and counted.
  */
 public final class Membership implements Part, Rider {
-    private static final long MOST_PERIOD_US = 3_600_000_000L;
+    private static final long MAX_PERIOD_US = 3_600_000_000L;
     /** Size of a table segment, bytes. It leaves space in the datagram for other messages to that courier. */
     private static final int ROLL_BYTES = 160;
 
@@ -63,7 +63,7 @@
             final Moment start,
             final Events events,
             final LongConsumer incarnationToKeep) {
-        if (periodUs < US_PER_MS || periodUs > MOST_PERIOD_US) {
+        if (periodUs < US_PER_MS || periodUs > MAX_PERIOD_US) {
             throw new IllegalArgumentException("the probe period is out of bounds: " + periodUs + " us");
         }
         final Random random = new Random(seed);
--- a/src/main/java/driftchute/fleet/membership/Messages.java
+++ b/src/main/java/driftchute/fleet/membership/Messages.java
@@ -13,7 +13,7 @@
 /** The messages of membership: types 0x10 to 0x18. */
 final class Messages {
     /** Sequence numbers wrap around after this: three bytes, and more than can be in transit. */
-    static final int MOST_SEQUENCE = (1 << 21) - 1;
+    static final int MAX_SEQUENCE = (1 << 21) - 1;
 
     private static final int PING = 0x10;
     private static final int ACK = 0x11;
@@ -204,11 +204,11 @@
     }
 
     private static int sequence(final ByteBuffer body) throws MalformedMessageException {
-        return (int) bounded(body, 0, MOST_SEQUENCE);
+        return (int) bounded(body, 0, MAX_SEQUENCE);
     }
 
     private static long incarnation(final ByteBuffer body) throws MalformedMessageException {
-        return bounded(body, 1, Claim.MOST_INCARNATION);
+        return bounded(body, 1, Claim.MAX_INCARNATION);
     }
 
     private static int courier(final ByteBuffer body, final int size) throws MalformedMessageException {
--- a/src/main/java/driftchute/fleet/membership/Prober.java
+++ b/src/main/java/driftchute/fleet/membership/Prober.java
@@ -18,7 +18,7 @@
     /** Number of helpers of an indirect probe: SWIM's k. */
     private static final int HELPERS = 3;
     /** Maximum number of indirect probes in progress for others. Further requests are ignored. */
-    private static final int MOST_ERRANDS = 64;
+    private static final int MAX_ERRANDS = 64;
 
     /** A probe by this courier for itself. */
     private static final class Probe {
@@ -61,7 +61,7 @@
         this.members = members;
         this.health = health;
         this.random = random;
-        this.sequence = random.nextInt(Messages.MOST_SEQUENCE);
+        this.sequence = random.nextInt(Messages.MAX_SEQUENCE);
         // Couriers that start together must not probe together.
         this.nextUs = nowUs + (long) (random.nextDouble() * timing.periodUs());
     }
@@ -182,7 +182,7 @@
     }
 
     private int nextSequence() {
-        sequence = sequence == Messages.MOST_SEQUENCE ? 0 : sequence + 1;
+        sequence = sequence == Messages.MAX_SEQUENCE ? 0 : sequence + 1;
         return sequence;
     }
 
@@ -222,7 +222,7 @@
 
     /** Handles a request to probe another courier. */
     void asked(final long nowUs, final int from, final Messages.PingRequest request, final Outbox out) {
-        if (request.target() != from && !members.isSelf(request.target()) && errands.size() < MOST_ERRANDS) {
+        if (request.target() != from && !members.isSelf(request.target()) && errands.size() < MAX_ERRANDS) {
             final Messages.Ping ping = ping(request.target());
             errands.put(
                     ping.sequence(),
--- a/src/main/java/driftchute/fleet/ration/Allocator.java
+++ b/src/main/java/driftchute/fleet/ration/Allocator.java
@@ -20,7 +20,7 @@
  */
 class Allocator {
     /** Maximum number of destinations of one courier. No courier can displace another's. */
-    static final int MOST_DESTINATIONS = 1024;
+    static final int MAX_DESTINATIONS = 1024;
     /** Part of the unclaimed capacity that goes to those who ask. The rest is available at once for newcomers. */
     private static final double SPARE = 0.5;
     /** A share below this part of its target is raised when other shares have expired. */
@@ -85,7 +85,7 @@
 
         @Override
         protected boolean removeEldestEntry(final Map.Entry<Long, Double> eldest) {
-            return size() > MOST_DESTINATIONS;
+            return size() > MAX_DESTINATIONS;
         }
     };
 
@@ -146,7 +146,7 @@
         client.rationUs = want.rationMs() * 1000L;
         final List<Long> fresh = new ArrayList<>();
         for (final Want.Ask ask : want.asks()) {
-            if (client.lines.size() >= MOST_DESTINATIONS && !client.lines.containsKey(ask.destination())) {
+            if (client.lines.size() >= MAX_DESTINATIONS && !client.lines.containsKey(ask.destination())) {
                 continue;
             }
             final Line line = client.lines.computeIfAbsent(ask.destination(), unused -> new Line());
--- a/src/main/java/driftchute/fleet/ration/Allotment.java
+++ b/src/main/java/driftchute/fleet/ration/Allotment.java
@@ -1,6 +1,6 @@
 package driftchute.fleet.ration;
 
-import driftchute.Courier.Ration;
+import driftchute.Courier.RateLease;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -30,16 +30,16 @@
 
     private static final double SECOND_US = 1_000_000;
     /** Maximum number of leases. Three are valid at a time, more only after repeated answers to one request. */
-    private static final int MOST_LEASES = 16;
+    private static final int MAX_LEASES = 16;
     /** Maximum number of stored level changes. Older ones are merged at the lower level. */
-    private static final int MOST_STEPS = 64;
+    private static final int MAX_STEPS = 64;
     /**
      * A courier that asks continues until its demand is below this part of its reserved part, to avoid switching on and
      * off.
      */
     private static final double STILL = 0.8;
     /** Minimum demand worth asking for, calls per second: one in ten seconds. */
-    private static final double LEAST = 0.1;
+    private static final double MIN = 0.1;
 
     private record Lease(int share, double basis, long untilUs) {
         double rate(final double told) {
@@ -98,14 +98,14 @@
 
     private void demand(final long nowUs, final double fresh) {
         final double kept = Math.exp(-(double) (nowUs - reportedUs) / settleUs);
-        demand = Math.min(Want.MOST_RATE, fresh > JUMP * demand ? fresh : fresh + (demand - fresh) * kept);
+        demand = Math.min(Want.MAX_RATE, fresh > JUMP * demand ? fresh : fresh + (demand - fresh) * kept);
         reportedUs = nowUs;
     }
 
     /** The rate to ask for, calls per second; 0 if the reserved part is enough or the reports have stopped. */
     double wanted(final long nowUs) {
         final double enough = (asking ? STILL : 1) * reserve();
-        asking = demand > Math.max(enough, LEAST) && nowUs - reportedUs < settleUs;
+        asking = demand > Math.max(enough, MIN) && nowUs - reportedUs < settleUs;
         return asking ? demand : 0;
     }
 
@@ -129,7 +129,7 @@
         basis = limit;
         leases.removeIf(old -> old.untilUs() <= untilUs && old.share() <= share && old.basis() <= limit);
         leases.add(lease);
-        if (leases.size() > MOST_LEASES) {
+        if (leases.size() > MAX_LEASES) {
             leases.remove(0);
         }
         look(nowUs);
@@ -151,7 +151,7 @@
         if (level != before) {
             steps.addFirst(new Step(level < before ? lookedUs : nowUs, level));
         }
-        if (steps.size() > MOST_STEPS) {
+        if (steps.size() > MAX_STEPS) {
             final Step oldest = steps.removeLast();
             final Step next = steps.removeLast();
             steps.addLast(new Step(oldest.fromUs(), Math.min(oldest.level(), next.level())));
@@ -162,7 +162,7 @@
     /**
      * The rate that may be used from now on, including the reserved part, and its expiry; null without a valid lease.
      */
-    Ration ration(final long nowUs) {
+    RateLease ration(final long nowUs) {
         look(nowUs);
         if (leases.isEmpty()) {
             return null;
@@ -179,7 +179,7 @@
                 .mapToLong(Lease::untilUs)
                 .max()
                 .getAsLong();
-        return new Ration(stood(nowUs, reserve() + rate), untilUs);
+        return new RateLease(stood(nowUs, reserve() + rate), untilUs);
     }
 
     /**
--- a/src/main/java/driftchute/fleet/ration/Rations.java
+++ b/src/main/java/driftchute/fleet/ration/Rations.java
@@ -28,7 +28,7 @@
  */
 public final class Rations implements Part {
     /** Maximum number of destinations. Others have only the reserved part. */
-    static final int MOST_DESTINATIONS = Allocator.MOST_DESTINATIONS;
+    static final int MAX_DESTINATIONS = Allocator.MAX_DESTINATIONS;
     /** Requests per lease time: two in a row may be lost before a share expires. */
     private static final int WANTS = 3;
     /**
@@ -38,7 +38,7 @@
     /** Fraction of a lease time that is the minimum interval of requests for newly used destinations. */
     private static final int EAGER = 15;
     /** Maximum number of remembered requests: those of one lease time, even if each destination has its own. */
-    private static final int MOST_SENT = 256;
+    private static final int MAX_SENT = 256;
     /** Time without use after which a destination is forgotten, us. */
     private static final long FORGET_US = 60_000_000;
     /** Interval of checks while a share is valid, us. An increase takes effect one call interval after the grant. */
@@ -50,7 +50,7 @@
     /** Sequence numbers start at the wall-clock time in ms, followed by this many random bits. */
     private static final int CHANCE_BITS = 10;
     /** A wall clock beyond the year 10000 would give sequence numbers of more than 63 bits. */
-    private static final long MOST_WALL_MS = (1L << 48) - 1;
+    private static final long MAX_WALL_MS = (1L << 48) - 1;
 
     private static final double MILLION = 1_000_000;
 
@@ -111,18 +111,18 @@
      * Handles what the traffic knows and needs of each destination in use, about every 100 ms. Implausible figures
      * count as none; destinations that are not listed are not in use.
      */
-    public void reports(final Moment now, final List<Courier.Report> reports) {
+    public void reports(final Moment now, final List<Courier.DestinationReport> reports) {
         final long nowUs = now.monoUs();
         final Set<Long> used = new HashSet<>();
-        for (final Courier.Report report : reports) {
+        for (final Courier.DestinationReport report : reports) {
             final long destination = report.destination();
-            if (destination < 0 || allotments.size() >= MOST_DESTINATIONS && !allotments.containsKey(destination)) {
+            if (destination < 0 || allotments.size() >= MAX_DESTINATIONS && !allotments.containsKey(destination)) {
                 continue;
             }
             used.add(destination);
             allotments
                     .computeIfAbsent(destination, unused -> new Allotment(nowUs, reservePart, rationUs, rationUs / 2))
-                    .report(nowUs, sane(report.limit()), sane(report.callsPerSecond()), Math.max(0, report.waiting()));
+                    .report(nowUs, sane(report.limit()), sane(report.callsPerSecond()), Math.max(0, report.waitingCalls()));
         }
         allotments.forEach((destination, allotment) -> {
             if (!used.contains(destination)) {
@@ -133,17 +133,17 @@
     }
 
     private static double sane(final double figure) {
-        return figure > 0 && figure <= Want.MOST_RATE ? figure : 0;
+        return figure > 0 && figure <= Want.MAX_RATE ? figure : 0;
     }
 
     /**
      * The rates that this courier may use, including the reserved part, and their expiry (monotonic us); none without a
      * lease.
      */
-    public Map<Long, Courier.Ration> rations(final Moment now) {
-        final Map<Long, Courier.Ration> rations = new LinkedHashMap<>();
+    public Map<Long, Courier.RateLease> rations(final Moment now) {
+        final Map<Long, Courier.RateLease> rations = new LinkedHashMap<>();
         allotments.forEach((destination, allotment) -> {
-            final Courier.Ration ration = allotment.ration(now.monoUs());
+            final Courier.RateLease ration = allotment.ration(now.monoUs());
             if (ration != null) {
                 rations.put(destination, ration);
             }
@@ -240,15 +240,15 @@
         asked.clear();
         sent.values().removeIf(old -> old.atUs() <= nowUs - rationUs);
         if (seq < 0) {
-            seq = (now.wallMs() & MOST_WALL_MS) << CHANCE_BITS | random.nextInt(1 << CHANCE_BITS);
+            seq = (now.wallMs() & MAX_WALL_MS) << CHANCE_BITS | random.nextInt(1 << CHANCE_BITS);
         }
         List<Want.Ask> part = new ArrayList<>();
-        int room = Want.MOST_ASKS;
+        int room = Want.MAX_ASKS;
         for (final Want.Ask ask : asks) {
             if (ask.size() > room) {
                 send(nowUs, to, part, out);
                 part = new ArrayList<>();
-                room = Want.MOST_ASKS;
+                room = Want.MAX_ASKS;
             }
             part.add(ask);
             room -= ask.size();
@@ -262,7 +262,7 @@
     private void send(final long nowUs, final Duty.Holding to, final List<Want.Ask> asks, final Outbox out) {
         seq++;
         sent.put(seq, new Sent(nowUs, to));
-        if (sent.size() > MOST_SENT) {
+        if (sent.size() > MAX_SENT) {
             sent.remove(sent.keySet().iterator().next());
         }
         out.send(to.courier(), new Want(seq, rationMs, Shares.atLeast(reserve), asks));
--- a/src/main/java/driftchute/fleet/ration/Want.java
+++ b/src/main/java/driftchute/fleet/ration/Want.java
@@ -15,15 +15,15 @@
 record Want(long seq, int rationMs, int reserve, List<Ask> asks) implements Message {
     static final int TYPE = 0x30;
     /** Upper bound of plausible rates, calls per second. */
-    static final float MOST_RATE = 1e9f;
+    static final float MAX_RATE = 1e9f;
     /** Longest lease time that a configuration may set, ms. */
-    static final int MOST_MS = 60_000;
+    static final int MAX_MS = 60_000;
     /** Maximum size of a demand, or of a granted share, beside its destination: two floats, bytes. */
     static final int FIGURES = 2 * Float.BYTES;
     /**
      * Maximum size of a request's demands, so that the grant, with two varints and a time, also fits into one message.
      */
-    static final int MOST_ASKS = Codec.MOST_BODY - 24;
+    static final int MAX_ASKS = Codec.MAX_BODY - 24;
 
     /** The reported limit, calls per second (0: none), and the rate that the courier could use (0: none needed). */
     record Ask(long destination, float limit, float demand) {
@@ -69,7 +69,7 @@
 
     static int time(final ByteBuffer body) throws MalformedMessageException {
         final long rationMs = Varint.get(body);
-        if (rationMs < 1 || rationMs > MOST_MS) {
+        if (rationMs < 1 || rationMs > MAX_MS) {
             throw new MalformedMessageException("invalid lease time of " + rationMs + " ms");
         }
         return (int) rationMs;
@@ -77,7 +77,7 @@
 
     static float rate(final ByteBuffer body) throws MalformedMessageException {
         final float rate = body.getFloat();
-        if (!(rate >= 0 && rate <= MOST_RATE)) {
+        if (!(rate >= 0 && rate <= MAX_RATE)) {
             throw new MalformedMessageException(rate + " calls per second is out of bounds");
         }
         return rate;
--- a/src/main/java/driftchute/fleet/session/Baseline.java
+++ b/src/main/java/driftchute/fleet/session/Baseline.java
@@ -16,10 +16,10 @@
         ILL
     }
 
-    private static final int MOST_DESTINATIONS = 256;
-    private static final int MOST_SESSIONS = 32;
+    private static final int MAX_DESTINATIONS = 256;
+    private static final int MAX_SESSIONS = 32;
     /** With fewer other sessions, one random failure would look like an outage, or hide one. */
-    private static final int LEAST_OTHERS = 2;
+    private static final int MIN_OTHERS = 2;
     /** If at least this share of the others succeeds, a failure here has its own cause. */
     private static final double WELL_SHARE = 0.75;
     /** If a smaller share succeeds and more than one fails, the destination fails. A single failure is no outage. */
@@ -27,7 +27,7 @@
 
     private record End(boolean well, long us) {}
 
-    private final Latest<Latest<End>> destinations = new Latest<>(MOST_DESTINATIONS);
+    private final Latest<Latest<End>> destinations = new Latest<>(MAX_DESTINATIONS);
     private final long staleUs;
 
     /**
@@ -41,7 +41,7 @@
 
     /** A call that is informative about this session has ended: the session was alone in it, or it succeeded. */
     void ended(final long destination, final long session, final boolean well, final long nowUs) {
-        destinations.use(destination, unused -> new Latest<>(MOST_SESSIONS)).put(session, new End(well, nowUs));
+        destinations.use(destination, unused -> new Latest<>(MAX_SESSIONS)).put(session, new End(well, nowUs));
     }
 
     /** Health of the destination for sessions other than these. */
@@ -59,6 +59,6 @@
         if (others - well > 1 && well < others * ILL_SHARE) {
             return Standing.ILL;
         }
-        return others >= LEAST_OTHERS && well >= others * WELL_SHARE ? Standing.WELL : Standing.UNKNOWN;
+        return others >= MIN_OTHERS && well >= others * WELL_SHARE ? Standing.WELL : Standing.UNKNOWN;
     }
 }
--- a/src/main/java/driftchute/fleet/session/Counters.java
+++ b/src/main/java/driftchute/fleet/session/Counters.java
@@ -29,21 +29,21 @@
         long large,
         int effects) {
     /** Upper bound: far above any count of calls, and far enough below 2^63 for the sum over all couriers. */
-    static final long MOST = 1L << 40;
+    static final long MAX = 1L << 40;
 
-    private static final int MOST_EFFECTS = 7;
+    private static final int MAX_EFFECTS = 7;
 
     Counters {
         if (life < 0
                 || bad(harms, calls)
                 || bad(mergedHarms, merged)
-                || bad(dependent, MOST)
-                || bad(retried, MOST)
-                || bad(large, MOST)
-                || bad(calls, MOST)
-                || bad(merged, MOST)
+                || bad(dependent, MAX)
+                || bad(retried, MAX)
+                || bad(large, MAX)
+                || bad(calls, MAX)
+                || bad(merged, MAX)
                 || effects < 0
-                || effects > MOST_EFFECTS) {
+                || effects > MAX_EFFECTS) {
             throw new IllegalArgumentException("impossible counters");
         }
     }
--- a/src/main/java/driftchute/fleet/session/Counts.java
+++ b/src/main/java/driftchute/fleet/session/Counts.java
@@ -55,7 +55,7 @@
         while (from.hasRemaining()) {
             final long session = from.getLong();
             final long epoch = Varint.get(from);
-            if (epoch > SessionState.MOST_EPOCH) {
+            if (epoch > SessionState.MAX_EPOCH) {
                 throw new MalformedMessageException("invalid session epoch: " + epoch);
             }
             rows.add(new Row(session, (int) epoch, Counters.read(life, from)));
@@ -65,6 +65,6 @@
 
     /** Maximum size of rows in a datagram that has {@code left} bytes for this message with its prefix. */
     static int room(final long life, final int left) {
-        return Math.min(left - Rumours.PREFIX, Codec.MOST_BODY) - Varint.size(life);
+        return Math.min(left - Rumours.PREFIX, Codec.MAX_BODY) - Varint.size(life);
     }
 }
--- a/src/main/java/driftchute/fleet/session/Demotion.java
+++ b/src/main/java/driftchute/fleet/session/Demotion.java
@@ -38,7 +38,7 @@
     static Demotion read(final boolean heard, final ByteBuffer from) throws MalformedMessageException {
         final long session = from.getLong();
         final long epoch = Varint.get(from);
-        if (epoch < 1 || epoch > SessionState.MOST_EPOCH) {
+        if (epoch < 1 || epoch > SessionState.MAX_EPOCH) {
             throw new MalformedMessageException("invalid session epoch: " + epoch);
         }
         return new Demotion(heard, session, (int) epoch);
--- a/src/main/java/driftchute/fleet/session/Evidence.java
+++ b/src/main/java/driftchute/fleet/session/Evidence.java
@@ -25,18 +25,18 @@
 
     private static final double GOOD = Math.log((1 - HEALTHY) / (1 - HARMFUL));
     /** A lower bound on the failure rate of merged calls above this demotes the session, from the second failure on. */
-    private static final double MOST_MERGED_HARM = 0.05;
+    private static final double MAX_MERGED_HARM = 0.05;
 
-    private static final int LEAST_MERGED_HARMS = 2;
+    private static final int MIN_MERGED_HARMS = 2;
     /**
      * Thresholds double with each epoch, up to 32 times: a session that was demoted often needs 1,600 successful calls.
      */
-    private static final int MOST_DOUBLINGS = 5;
+    private static final int MAX_DOUBLINGS = 5;
     /**
      * Maximum share of a threshold that another courier's evidence can provide: two couriers have to agree, or this one
      * has to see it itself.
      */
-    private static final double MOST_WORD = 0.5;
+    private static final double MAX_WORD = 0.5;
     /** A property that occurs in at least one of so many calls is typical of the session. */
     private static final int DEPENDENT_ONE_IN = 10;
 
@@ -47,13 +47,13 @@
     /** The session's class by this evidence, as seen by courier {@code self}. */
     static SessionClass classOf(final SessionState state, final int self) {
         final Counters all = sum(state);
-        if (state.epoch() >= SessionState.MOST_EPOCH
+        if (state.epoch() >= SessionState.MAX_EPOCH
                 || harmsMerged(state)
                 || habit(all.retried(), all, TROUBLE_ONE_IN)
                 || habit(all.large(), all, TROUBLE_ONE_IN)) {
             return SessionClass.OWN;
         }
-        double factor = 1 << Math.min(state.epoch(), MOST_DOUBLINGS);
+        double factor = 1 << Math.min(state.epoch(), MAX_DOUBLINGS);
         if ((all.effects() & 1 << Effect.UNSAFE.ordinal()) != 0) {
             factor *= 2;
         }
@@ -82,7 +82,7 @@
             final Counters counters = of.getValue();
             final long harms = counters.harms() + counters.mergedHarms();
             final double told = harms * HARM - (counters.calls() + counters.merged() - harms) * GOOD;
-            score += of.getKey() == self ? told : Math.max(told, -MOST_WORD * bar);
+            score += of.getKey() == self ? told : Math.max(told, -MAX_WORD * bar);
         }
         return score <= -bar;
     }
@@ -90,8 +90,8 @@
     /** True if merged calls with it fail too often, although none of its messages was proven to be the cause. */
     static boolean harmsMerged(final SessionState state) {
         final Counters all = sum(state);
-        return all.mergedHarms() >= LEAST_MERGED_HARMS
-                && Wilson.lower(all.mergedHarms(), all.merged()) > MOST_MERGED_HARM;
+        return all.mergedHarms() >= MIN_MERGED_HARMS
+                && Wilson.lower(all.mergedHarms(), all.merged()) > MAX_MERGED_HARM;
     }
 
     /** The sum of all couriers' counters. */
@@ -105,13 +105,13 @@
         long large = 0;
         int effects = 0;
         for (final Counters one : state.byCourier().values()) {
-            calls = Math.min(Counters.MOST, calls + one.calls());
-            harms = Math.min(Counters.MOST, harms + one.harms());
-            merged = Math.min(Counters.MOST, merged + one.merged());
-            mergedHarms = Math.min(Counters.MOST, mergedHarms + one.mergedHarms());
-            dependent = Math.min(Counters.MOST, dependent + one.dependent());
-            retried = Math.min(Counters.MOST, retried + one.retried());
-            large = Math.min(Counters.MOST, large + one.large());
+            calls = Math.min(Counters.MAX, calls + one.calls());
+            harms = Math.min(Counters.MAX, harms + one.harms());
+            merged = Math.min(Counters.MAX, merged + one.merged());
+            mergedHarms = Math.min(Counters.MAX, mergedHarms + one.mergedHarms());
+            dependent = Math.min(Counters.MAX, dependent + one.dependent());
+            retried = Math.min(Counters.MAX, retried + one.retried());
+            large = Math.min(Counters.MAX, large + one.large());
             effects |= one.effects();
         }
         return new Counters(0, calls, harms, merged, mergedHarms, dependent, retried, large, effects);
--- a/src/main/java/driftchute/fleet/session/Rumours.java
+++ b/src/main/java/driftchute/fleet/session/Rumours.java
@@ -23,8 +23,8 @@
      */
     private static final long FIRST_WAIT_US = 100_000;
 
-    private static final int MOST_TRIES = 7;
-    private static final int MOST = 256;
+    private static final int MAX_TRIES = 7;
+    private static final int MAX = 256;
     /** Number of times a received demotion is gossiped to each other courier. */
     private static final int RIDES = 2;
 
@@ -47,8 +47,8 @@
 
     private final int self;
     private final int couriers;
-    private final Latest<Rumour> own = new Latest<>(MOST);
-    private final Latest<Rumour> told = new Latest<>(MOST);
+    private final Latest<Rumour> own = new Latest<>(MAX);
+    private final Latest<Rumour> told = new Latest<>(MAX);
 
     Rumours(final int self, final int couriers) {
         this.self = self;
@@ -88,7 +88,7 @@
                 rumour.missing.stream().forEach(peer -> out.send(peer, demotion));
                 rumour.nextUs = now.monoUs() + (FIRST_WAIT_US << rumour.tries++);
             }
-            if (rumour.missing.isEmpty() || rumour.tries >= MOST_TRIES) {
+            if (rumour.missing.isEmpty() || rumour.tries >= MAX_TRIES) {
                 it.remove();
             } else {
                 next = Math.min(next, rumour.nextUs);
--- a/src/main/java/driftchute/fleet/session/SessionState.java
+++ b/src/main/java/driftchute/fleet/session/SessionState.java
@@ -12,7 +12,7 @@
  */
 final class SessionState {
     /** The last epoch. A session in it cannot be demoted further, and is {@code OWN} for good. */
-    static final int MOST_EPOCH = 1 << 20;
+    static final int MAX_EPOCH = 1 << 20;
 
     private int epoch;
     private final Map<Integer, Counters> byCourier = new TreeMap<>();
--- a/src/main/java/driftchute/fleet/session/Sessions.java
+++ b/src/main/java/driftchute/fleet/session/Sessions.java
@@ -23,13 +23,13 @@
     /**
      * Maximum number of sessions, evicted by the least recent call: 4 MB with ten couriers that all see all of them.
      */
-    static final int MOST_SESSIONS = 4096;
+    static final int MAX_SESSIONS = 4096;
     /** Maximum number of epochs of sessions that are no longer, or not yet, stored. */
-    private static final int MOST_FORGOTTEN = 4096;
+    private static final int MAX_FORGOTTEN = 4096;
     /** Minimum number of own calls for a courier's counters to be worth sending. */
     private static final int WORTH_TELLING = 8;
     /** Maximum number of sessions examined for one datagram; some may have expired meanwhile. */
-    private static final int MOST_LOOKED_AT = 64;
+    private static final int MAX_LOOKED_AT = 64;
     /**
      * A message that arrives this soon after the previous one's end, us, so many times in a row, depends on it: a local
      * round trip.
@@ -62,8 +62,8 @@
     private final long life;
     private final long staleUs;
     private final Events events;
-    private final Latest<Integer> forgotten = new Latest<>(MOST_FORGOTTEN);
-    private final Latest<Held> sessions = new Latest<>(MOST_SESSIONS, this::gone);
+    private final Latest<Integer> forgotten = new Latest<>(MAX_FORGOTTEN);
+    private final Latest<Held> sessions = new Latest<>(MAX_SESSIONS, this::gone);
     private final TreeMap<Long, Held> telling = new TreeMap<>();
     private final Map<Integer, Long> cursors = new HashMap<>();
     private final Baseline baseline;
@@ -268,7 +268,7 @@
     }
 
     private void demote(final Moment now, final long session, final Held held, final String why, final Outbox out) {
-        final int epoch = Math.min(SessionState.MOST_EPOCH, held.state.epoch() + 1);
+        final int epoch = Math.min(SessionState.MAX_EPOCH, held.state.epoch() + 1);
         final Counters all = Evidence.sum(held.state);
         events.event(
                 "session-demoted",
@@ -392,7 +392,7 @@
         final List<Map.Entry<Long, Held>> window = new ArrayList<>();
         for (final Map<Long, Held> part : List.of(telling.tailMap(from, false), telling.headMap(from, true))) {
             for (final Iterator<Map.Entry<Long, Held>> it = part.entrySet().iterator();
-                    it.hasNext() && window.size() < MOST_LOOKED_AT; ) {
+                    it.hasNext() && window.size() < MAX_LOOKED_AT; ) {
                 window.add(it.next());
             }
         }
--- a/src/main/java/driftchute/fleet/session/Splitter.java
+++ b/src/main/java/driftchute/fleet/session/Splitter.java
@@ -26,7 +26,7 @@
      * Each search from which a session came out unproven doubles them, up to 64: one that spoils a tenth passes once in
      * 850.
      */
-    private static final int MOST_STRIKES = 4;
+    private static final int MAX_STRIKES = 4;
     /**
      * Successful calls after which one such search is forgotten: a third of the mean distance of two failures at a base
      * error rate of 1%.
@@ -43,7 +43,7 @@
     /** A search without proof counts against at most so many last suspects: a group of this size is split once. */
     private static final int LAST_SUSPECTS = 3;
 
-    private static final int MOST_SUSPECTS = 1024;
+    private static final int MAX_SUSPECTS = 1024;
 
     private static final class Suspect {
         final long chain;
@@ -71,8 +71,8 @@
         int passes;
     }
 
-    private final Latest<Suspect> suspects = new Latest<>(MOST_SUSPECTS);
-    private final Latest<Strikes> strikes = new Latest<>(MOST_SUSPECTS);
+    private final Latest<Suspect> suspects = new Latest<>(MAX_SUSPECTS);
+    private final Latest<Strikes> strikes = new Latest<>(MAX_SUSPECTS);
     private final Random random;
     private long chains;
     private int groups;
@@ -162,7 +162,7 @@
             if (++suspect.passes >= CLEARING << (past == null ? 0 : past.count)) {
                 suspects.remove(session);
                 final Strikes now = strikes.use(session, unused -> new Strikes());
-                now.count = Math.min(MOST_STRIKES, now.count + 1);
+                now.count = Math.min(MAX_STRIKES, now.count + 1);
                 now.passes = 0;
                 if (suspect.among > 1 && suspect.among <= LAST_SUSPECTS) {
                     unproven.add(session);
--- a/src/main/java/driftchute/fleet/shared/SharedState.java
+++ b/src/main/java/driftchute/fleet/shared/SharedState.java
@@ -66,7 +66,7 @@
                 tier,
                 new Terms(
                         block.staleMs(),
-                        guarantees.coldUs() / US_PER_MS,
+                        guarantees.warmUpUs() / US_PER_MS,
                         block.leaseMs(),
                         block.driftPpm(),
                         Terms::halfTheAge),
@@ -82,7 +82,7 @@
     }
 
     /** Handles what this courier's traffic knows and needs. */
-    public void reports(final Moment now, final List<Courier.Report> reports) {
+    public void reports(final Moment now, final List<Courier.DestinationReport> reports) {
         rations.reports(now, reports);
         verdicts.reports(now, reports);
     }
--- a/src/main/java/driftchute/fleet/verdict/BadReport.java
+++ b/src/main/java/driftchute/fleet/verdict/BadReport.java
@@ -18,7 +18,7 @@
         implements Entry {
     static final int TYPE = 0x40;
     /** Upper bound of the failure count; higher counts carry no information. */
-    static final int MOST_FAILED = 0xFFFF;
+    static final int MAX_FAILED = 0xFFFF;
     /** Order by version. The other fields only decide between inconsistent reports, to keep the order total. */
     static final Comparator<BadReport> ORDER = Comparator.comparingLong(BadReport::madeMs)
             .thenComparingLong(BadReport::lastMs)
@@ -75,7 +75,7 @@
         final long failed = Varint.get(body);
         final long shutMs = Varint.get(body);
         // The differences are not negative, so an overflow shows as a negative time.
-        if (reporter >= couriers || lastMs < 0 || sinceMs < 0 || failed > MOST_FAILED || shutMs - madeMs > staleMs) {
+        if (reporter >= couriers || lastMs < 0 || sinceMs < 0 || failed > MAX_FAILED || shutMs - madeMs > staleMs) {
             throw new MalformedMessageException("invalid report of courier " + reporter + " created " + madeMs + ", last failure "
                     + lastMs + ", since " + sinceMs + ", failed " + failed + ", closed until " + shutMs);
         }
--- a/src/main/java/driftchute/fleet/verdict/Evidence.java
+++ b/src/main/java/driftchute/fleet/verdict/Evidence.java
@@ -10,7 +10,7 @@
 /** All evidence about destinations in trouble: bounded, expired by age, with a digest of the whole. */
 final class Evidence {
     /** Maximum number of destinations; a courier serves some tens. Further ones are judged by own calls only. */
-    static final int MOST_DESTINATIONS = 256;
+    static final int MAX_DESTINATIONS = 256;
     /** Size of the type and length before a message's body, bytes. */
     private static final int PREFIX = 2;
 
@@ -31,7 +31,7 @@
     /** Adds an entry. True if it is news; false if it is known or superseded, or if there is no space for it. */
     boolean take(final Entry entry) {
         final Outage before = outages.get(entry.destination());
-        if (before == null && outages.size() >= MOST_DESTINATIONS) {
+        if (before == null && outages.size() >= MAX_DESTINATIONS) {
             return false;
         }
         final Outage after = (before == null ? new Outage(entry.destination()) : before).with(entry);
--- a/src/main/java/driftchute/fleet/verdict/Judgement.java
+++ b/src/main/java/driftchute/fleet/verdict/Judgement.java
@@ -1,6 +1,6 @@
 package driftchute.fleet.verdict;
 
-import driftchute.Courier.Standing;
+import driftchute.Courier.TierHealth;
 import java.util.List;
 
 /**
@@ -14,7 +14,7 @@
  * @param episode the recovery before the outage; 0 if none is known
  */
 record Judgement(
-        Standing standing, long sinceMs, long shutMs, long staleMs, List<Integer> by, int failed, long episode) {
+        TierHealth standing, long sinceMs, long shutMs, long staleMs, List<Integer> by, int failed, long episode) {
     /** There is no evidence against the destination. */
-    static final Judgement WELL = new Judgement(Standing.WELL, 0, 0, 0, List.of(), 0, 0);
+    static final Judgement WELL = new Judgement(TierHealth.HEALTHY, 0, 0, 0, List.of(), 0, 0);
 }
--- a/src/main/java/driftchute/fleet/verdict/Outage.java
+++ b/src/main/java/driftchute/fleet/verdict/Outage.java
@@ -1,6 +1,6 @@
 package driftchute.fleet.verdict;
 
-import driftchute.Courier.Standing;
+import driftchute.Courier.TierHealth;
 import java.util.Comparator;
 import java.util.List;
 import java.util.SortedMap;
@@ -16,7 +16,7 @@
      * Maximum number of reports, the latest ones. Two establish an outage; the others allow some to expire or be
      * withdrawn.
      */
-    static final int MOST_REPORTS = 8;
+    static final int MAX_REPORTS = 8;
 
     private static final int TWO = 2;
     private final SortedMap<Integer, BadReport> reports = new TreeMap<>();
@@ -31,7 +31,7 @@
         this.back = back;
         all.forEach(report -> reports.merge(
                 report.reporter(), report, (one, other) -> BadReport.ORDER.compare(one, other) >= 0 ? one : other));
-        while (reports.size() > MOST_REPORTS) {
+        while (reports.size() > MAX_REPORTS) {
             reports.remove(
                     reports.values().stream().min(BadReport.ORDER).orElseThrow().reporter());
         }
@@ -86,11 +86,11 @@
         final long shutMs = live.stream().mapToLong(BadReport::shutMs).max().orElse(0);
         final long coldUntilMs = back.back().ms() + terms.coldMs();
         if (live.size() >= TWO || shutMs > 0) {
-            return of(Standing.OUT, live, shutMs, terms);
+            return of(TierHealth.DOWN, live, shutMs, terms);
         }
         if (back.back().ms() > 0 && nowMs < coldUntilMs) {
             return new Judgement(
-                    Standing.BACK,
+                    TierHealth.RECOVERED,
                     back.back().ms(),
                     0,
                     coldUntilMs,
@@ -98,10 +98,10 @@
                     0,
                     back.back().ms());
         }
-        return live.isEmpty() ? Judgement.WELL : of(Standing.SUSPECTED, live, 0, terms);
+        return live.isEmpty() ? Judgement.WELL : of(TierHealth.SUSPECTED, live, 0, terms);
     }
 
-    private Judgement of(final Standing standing, final List<BadReport> live, final long shutMs, final Terms terms) {
+    private Judgement of(final TierHealth standing, final List<BadReport> live, final long shutMs, final Terms terms) {
         final List<Long> made = live.stream()
                 .map(BadReport::madeMs)
                 .sorted(Comparator.reverseOrder())
--- a/src/main/java/driftchute/fleet/verdict/Own.java
+++ b/src/main/java/driftchute/fleet/verdict/Own.java
@@ -1,7 +1,7 @@
 package driftchute.fleet.verdict;
 
 import driftchute.Courier;
-import driftchute.Courier.Phase;
+import driftchute.Courier.CircuitState;
 import driftchute.fleet.Moment;
 
 /** What this courier's own calls to a destination show, on its monotonic clock. */
@@ -10,7 +10,7 @@
      * Shorter waits come from a limit, whose spans are a second or two. Longer ones mean that the destination is
      * closed.
      */
-    private static final long SHUT_LEAST_US = 2_500_000;
+    private static final long MIN_SHUT_US = 2_500_000;
     /** Maximum reported age of a trouble, us; a greater one carries no information. */
     private static final long OLDEST_US = 86_400_000_000L;
 
@@ -23,21 +23,21 @@
     private long endedUs = Long.MIN_VALUE;
 
     /** Handles a report of the traffic. */
-    void update(final Moment now, final Courier.Report report) {
+    void update(final Moment now, final Courier.DestinationReport report) {
         final long nowUs = now.monoUs();
-        final boolean out = report.phase() == Phase.OUT && report.troubleFromUs() <= nowUs;
+        final boolean out = report.circuit() == CircuitState.OPEN && report.troubleSinceUs() <= nowUs;
         final boolean failedMore =
-                report.failed() > failed || report.troubleFromUs() != fromUs && report.troubleFromUs() <= nowUs;
+                report.failedCalls() > failed || report.troubleSinceUs() != fromUs && report.troubleSinceUs() <= nowUs;
         if (failedMore || out && !trouble) {
             lastUs = nowUs;
         }
         trouble = out;
-        failed = report.failed();
-        fromUs = report.troubleFromUs();
-        waiting = report.waiting();
-        servedUs = Math.min(report.servedUs(), nowUs);
-        final boolean shut = report.shutUntilUs() - nowUs > SHUT_LEAST_US;
-        shutUs = !out ? 0 : shut ? Math.max(shutUs, report.shutUntilUs()) : shutUs;
+        failed = report.failedCalls();
+        fromUs = report.troubleSinceUs();
+        waiting = report.waitingCalls();
+        servedUs = Math.min(report.lastServedUs(), nowUs);
+        final boolean shut = report.closedUntilUs() - nowUs > MIN_SHUT_US;
+        shutUs = !out ? 0 : shut ? Math.max(shutUs, report.closedUntilUs()) : shutUs;
     }
 
     /** Whether this courier considers it down by its own calls. */
@@ -77,7 +77,7 @@
                 madeMs,
                 lastMs,
                 sinceMs,
-                Math.max(1, Math.min(BadReport.MOST_FAILED, failed)),
+                Math.max(1, Math.min(BadReport.MAX_FAILED, failed)),
                 shutMs);
     }
 
--- a/src/main/java/driftchute/fleet/verdict/Rumours.java
+++ b/src/main/java/driftchute/fleet/verdict/Rumours.java
@@ -29,7 +29,7 @@
 
     private static final long NEWS_US = 20_000;
     /** Maximum size of a round's entries, bytes, so that they fit into one datagram with a digest. */
-    static final int MOST_BYTES = 240;
+    static final int MAX_BYTES = 240;
 
     private final Evidence evidence;
     private final Random random;
@@ -84,7 +84,7 @@
         final List<Entry> told = new ArrayList<>();
         final List<Entry.Key> keys = new ArrayList<>(left.keySet());
         keys.sort(Comparator.comparing(left::get, Comparator.reverseOrder()));
-        int room = MOST_BYTES;
+        int room = MAX_BYTES;
         for (final Entry.Key key : keys) {
             final Entry entry = evidence.at(key);
             if (entry == null) {
--- a/src/main/java/driftchute/fleet/verdict/Terms.java
+++ b/src/main/java/driftchute/fleet/verdict/Terms.java
@@ -18,9 +18,9 @@
      * Bounds of the default interval, us: a recovery is found within two seconds, and half a call per second overloads
      * nothing.
      */
-    private static final long GAP_LEAST_US = PERMIT_US;
+    private static final long MIN_GAP_US = PERMIT_US;
 
-    private static final long GAP_MOST_US = 2_000_000;
+    private static final long MAX_GAP_US = 2_000_000;
 
     /**
      * Checks the values.
@@ -36,7 +36,7 @@
 
     /** An interval of half the outage's age, at least 0.5 s and at most 2 s; all in us. */
     public static long halfTheAge(final long ageUs) {
-        return Math.max(GAP_LEAST_US, Math.min(GAP_MOST_US, ageUs / 2));
+        return Math.max(MIN_GAP_US, Math.min(MAX_GAP_US, ageUs / 2));
     }
 
     /** Validity of a permit for its requester, us, whose clock may be slower. */
--- a/src/main/java/driftchute/fleet/verdict/Trials.java
+++ b/src/main/java/driftchute/fleet/verdict/Trials.java
@@ -18,7 +18,7 @@
      */
     private static final long ASK_US = 250_000;
 
-    private static final long MOST_WAIT_US = 1_000_000;
+    private static final long MAX_WAIT_US = 1_000_000;
     private static final long MS_US = 1000;
     /** Lease times without an answer after which each courier makes its own probes: one to expire, one to be taken. */
     private static final int LEASES = 2;
@@ -71,7 +71,7 @@
         if (trier.isEmpty() || asking.number > 0 && now.monoUs() < asking.nextUs) {
             return;
         }
-        if (now.monoUs() - askedUs > MOST_WAIT_US + ASK_US) {
+        if (now.monoUs() - askedUs > MAX_WAIT_US + ASK_US) {
             unansweredUs = now.monoUs();
         }
         askedUs = now.monoUs();
@@ -102,7 +102,7 @@
             asking.nextUs = asking.askedUs + Terms.PERMIT_US;
             asking.permitted = true;
         } else {
-            final long waitUs = Math.min(MOST_WAIT_US, Math.min(MOST_WAIT_US, answer.afterMs()) * MS_US);
+            final long waitUs = Math.min(MAX_WAIT_US, Math.min(MAX_WAIT_US, answer.afterMs()) * MS_US);
             asking.nextUs = now.monoUs() + Math.max(ASK_US, waitUs) + random.nextInt((int) ASK_US / 2);
         }
     }
--- a/src/main/java/driftchute/fleet/verdict/Trier.java
+++ b/src/main/java/driftchute/fleet/verdict/Trier.java
@@ -1,6 +1,6 @@
 package driftchute.fleet.verdict;
 
-import driftchute.Courier.Standing;
+import driftchute.Courier.TierHealth;
 import driftchute.fleet.Duty;
 import driftchute.fleet.Events;
 import driftchute.fleet.Moment;
@@ -67,7 +67,7 @@
             return Optional.empty();
         }
         long afterMs = ASK_AGAIN_MS;
-        if (judged.standing() == Standing.OUT) {
+        if (judged.standing() == TierHealth.DOWN) {
             final long openUs = opened(now, ask.destination()) - now.monoUs();
             afterMs = Math.max(0, Math.max(-Math.floorDiv(-openUs, MS_US), judged.shutMs() - now.wallMs()));
             if (afterMs == 0) {
--- a/src/main/java/driftchute/fleet/verdict/Verdicts.java
+++ b/src/main/java/driftchute/fleet/verdict/Verdicts.java
@@ -1,7 +1,7 @@
 package driftchute.fleet.verdict;
 
 import driftchute.Courier;
-import driftchute.Courier.Standing;
+import driftchute.Courier.TierHealth;
 import driftchute.fleet.Duty;
 import driftchute.fleet.Events;
 import driftchute.fleet.Message;
@@ -74,11 +74,11 @@
      * Handles what this courier's calls show about all its destinations, about every 100 ms. {@link #tick} then sends
      * what is new. Times are on this process's monotonic clock.
      */
-    public void reports(final Moment now, final List<Courier.Report> reports) {
+    public void reports(final Moment now, final List<Courier.DestinationReport> reports) {
         begin(now);
         owns.keySet()
-                .retainAll(reports.stream().map(Courier.Report::destination).collect(Collectors.toSet()));
-        for (final Courier.Report report : reports) {
+                .retainAll(reports.stream().map(Courier.DestinationReport::destination).collect(Collectors.toSet()));
+        for (final Courier.DestinationReport report : reports) {
             if (report.destination() >= 0) {
                 update(now, report);
             }
@@ -86,7 +86,7 @@
         refresh(now);
     }
 
-    private void update(final Moment now, final Courier.Report report) {
+    private void update(final Moment now, final Courier.DestinationReport report) {
         final long destination = report.destination();
         final Own own = owns.computeIfAbsent(destination, unused -> new Own());
         final long lastUs = own.lastUs();
@@ -136,13 +136,13 @@
         final long servedMs = own.servedMs(now);
         if (!live.isEmpty() && live.stream().allMatch(report -> report.lastMs() < servedMs)) {
             final Return.Seen seen = new Return.Seen(servedMs, tier.self());
-            final boolean out = outage.judge(now.wallMs(), terms).standing() == Standing.OUT;
+            final boolean out = outage.judge(now.wallMs(), terms).standing() == TierHealth.DOWN;
             take(now, new Return(destination, seen, out ? seen : outage.back().back()));
         }
     }
 
     private boolean take(final Moment now, final Entry entry) {
-        final Standing before =
+        final TierHealth before =
                 evidence.of(entry.destination()).judge(now.wallMs(), terms).standing();
         final boolean news = evidence.take(entry);
         if (news) {
@@ -179,17 +179,17 @@
             if (digest.sum() != evidence.digest() && now.monoUs() - exchangedUs >= EXCHANGE_US) {
                 exchangedUs = now.monoUs();
                 out.send(from, new Words.Pull());
-                evidence.window(Rumours.MOST_BYTES).forEach(entry -> out.send(from, entry));
+                evidence.window(Rumours.MAX_BYTES).forEach(entry -> out.send(from, entry));
             }
         } else if (message instanceof Words.Pull) {
             if (now.monoUs() - pulledUs >= PULL_US) {
                 pulledUs = now.monoUs();
-                evidence.window(Rumours.MOST_BYTES).forEach(entry -> out.send(from, entry));
+                evidence.window(Rumours.MAX_BYTES).forEach(entry -> out.send(from, entry));
             }
         } else if (message instanceof Words.Ask ask) {
             final Outage outage = evidence.of(ask.destination());
             final Judgement judged = outage.judge(now.wallMs(), terms);
-            if (judged.standing() != Standing.OUT) {
+            if (judged.standing() != TierHealth.DOWN) {
                 outage.entries().forEach(entry -> out.send(from, entry));
             }
             trier.answer(now, from, ask, judged).ifPresent(answer -> out.send(from, answer));
@@ -245,7 +245,7 @@
     }
 
     private static boolean isOut(final Shown of) {
-        return of.judged().standing() == Standing.OUT;
+        return of.judged().standing() == TierHealth.DOWN;
     }
 
     @Override
@@ -294,7 +294,7 @@
                     "episode",
                     to.episode());
         }
-        if (to.standing() == Standing.WELL) {
+        if (to.standing() == TierHealth.HEALTHY) {
             shown.remove(destination);
         } else {
             final boolean same = to.standing() == from.standing() && to.sinceMs() == from.sinceMs();
--- a/src/main/java/driftchute/node/AnswerDecoder.java
+++ b/src/main/java/driftchute/node/AnswerDecoder.java
@@ -13,8 +13,8 @@
  * line is valid whatever happens to the rest.
  */
 final class AnswerDecoder extends HttpResponseDecoder {
-    private static final int MOST_LINE_BYTES = 1024;
-    private static final int MOST_HEAD_BYTES = 8192;
+    private static final int MAX_LINE_BYTES = 1024;
+    private static final int MAX_HEAD_BYTES = 8192;
 
     /** Receives the events. */
     interface Listener {
@@ -29,8 +29,8 @@
 
     AnswerDecoder(final Listener listener) {
         super(new HttpDecoderConfig()
-                .setMaxInitialLineLength(MOST_LINE_BYTES)
-                .setMaxHeaderSize(MOST_HEAD_BYTES)
+                .setMaxInitialLineLength(MAX_LINE_BYTES)
+                .setMaxHeaderSize(MAX_HEAD_BYTES)
                 .setAllowDuplicateContentLengths(false)
                 .setUseRfc9112TransferEncoding(true));
         this.listener = listener;
--- a/src/main/java/driftchute/node/Config.java
+++ b/src/main/java/driftchute/node/Config.java
@@ -40,7 +40,7 @@
         long connectTimeoutUs,
         FleetSettings fleet) {
 
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
     private static final int HEX = 16;
     private static final long BYTES_PER_MB = 1_000_000;
     private static final String SOURCE = "configuration";
@@ -214,7 +214,7 @@
         try {
             final byte[] figures = NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(0, colon)));
             final int port = Integer.parseInt(text.substring(colon + 1));
-            if (figures != null && port >= 0 && port <= MOST_PORT) {
+            if (figures != null && port >= 0 && port <= MAX_PORT) {
                 return new InetSocketAddress(InetAddress.getByAddress(figures), port);
             }
         } catch (final NumberFormatException | UnknownHostException e) {
--- a/src/main/java/driftchute/node/Discovery.java
+++ b/src/main/java/driftchute/node/Discovery.java
@@ -60,7 +60,7 @@
         final Courier.Endpoint entry = known.get(endpoint);
         return entry == null || entry.kind() < 0
                 ? 1
-                : config.settings().kinds().get(entry.kind()).messagesPerCall();
+                : config.settings().destinationKinds().get(entry.kind()).messagesPerCall();
     }
 
     /**
@@ -139,7 +139,7 @@
             known.put(endpoint.id(), endpoint);
             destinations.put(endpoint.destination(), clock.nowUs());
             final boolean apart = endpoint.kind() >= 0
-                    && config.settings().kinds().get(endpoint.kind()).routesApart();
+                    && config.settings().destinationKinds().get(endpoint.kind()).separateRoutes();
             host.endpoints().listed(endpoint, apart, entry.dial());
         }
         host.told(list, update, from);
@@ -204,8 +204,8 @@
                 };
         final String kindName = node.path("class").asText();
         int kind = -1;
-        for (int index = 0; index < config.settings().kinds().size(); index++) {
-            if (config.settings().kinds().get(index).name().equals(kindName)) {
+        for (int index = 0; index < config.settings().destinationKinds().size(); index++) {
+            if (config.settings().destinationKinds().get(index).name().equals(kindName)) {
                 kind = index;
             }
         }
--- a/src/main/java/driftchute/node/Endpoints.java
+++ b/src/main/java/driftchute/node/Endpoints.java
@@ -56,7 +56,7 @@
 final class Endpoints {
     private static final long US_PER_MS = 1000;
     private static final double US_PER_SECOND = 1_000_000;
-    private static final int MOST_BODY_BYTES = 1 << 16;
+    private static final int MAX_BODY_BYTES = 1 << 16;
     /**
      * Share of the endpoints' own idle time-out after which an idle connection is closed, so that no request crosses
      * the endpoint's close.
@@ -67,7 +67,7 @@
 
     private static final int OK = 200;
     private static final int INFORMATIONAL = 200;
-    private static final int MOST_STATUS = 599;
+    private static final int MAX_STATUS = 599;
     private static final int GONE = 410;
     private static final int BUSY = 429;
     private static final int UNAVAILABLE = 503;
@@ -91,10 +91,10 @@
      * Upper bounds for reported waits (an hour) and limits (a million calls per second). Higher values are not
      * believed.
      */
-    private static final double MOST_WAIT_S = 3600;
+    private static final double MAX_WAIT_S = 3600;
 
-    private static final double MOST_RATE = 1e6;
-    private static final double MOST_SHARE = 2;
+    private static final double MAX_RATE = 1e6;
+    private static final double MAX_SHARE = 2;
     /** State of a message that an answer does not mention, or mentions with two states. */
     private static final String UNREADABLE = "";
 
@@ -111,13 +111,13 @@
     private boolean keepsNone;
 
     /** The outcome of a message's part in a call. {@code waitUs}: the wait that the answer asked for, or 0. */
-    record Answer(Result result, boolean over, long waitUs, Courier.Allowance allowance) {}
+    record Answer(Result result, boolean over, long waitUs, Courier.ReportedLimit allowance) {}
 
     Endpoints(final Config config, final EventLoop loop, final Clock clock, final Host host) {
         this.clock = clock;
         this.loop = loop;
         this.host = host;
-        this.idleUs = (long) (IDLE_SHARE * config.settings().limits().idleCloseUs());
+        this.idleUs = (long) (IDLE_SHARE * config.settings().limits().idleTimeoutUs());
         this.connectTimeoutUs = config.connectTimeoutUs();
         this.bootstrap = new Bootstrap()
                 .group(loop)
@@ -556,7 +556,7 @@
             }
             if (part instanceof HttpResponse response) {
                 final int code = response.status().code();
-                if (code > MOST_STATUS || !RequestDecoder.isFramedPlainly(response)) {
+                if (code > MAX_STATUS || !RequestDecoder.isFramedPlainly(response)) {
                     broken(Result.ERROR);
                     return;
                 }
@@ -564,7 +564,7 @@
                 keep = HttpUtil.isKeepAlive(response);
             }
             if (part instanceof HttpContent content) {
-                if (body.size() + content.content().readableBytes() > MOST_BODY_BYTES) {
+                if (body.size() + content.content().readableBytes() > MAX_BODY_BYTES) {
                     broken(Result.ERROR);
                     return;
                 }
@@ -780,7 +780,7 @@
     }
 
     private static Answer answer(final HttpResponse head, final long waitUs) {
-        final Courier.Allowance allowance = allowance(head.headers().get("X-Server-Load"));
+        final Courier.ReportedLimit allowance = allowance(head.headers().get("X-Server-Load"));
         final boolean lineBusy = "1".equals(head.headers().get("X-Line-Busy"));
         return switch (head.status().code()) {
             case OK -> new Answer(Result.DELIVERED, true, waitUs, allowance);
@@ -795,11 +795,11 @@
     /** The wait that an answer asks for, in seconds with decimals, as us; 0 if there is none or it cannot be parsed. */
     private static long waitUs(final HttpResponse head) {
         final double seconds = number(head.headers().get(HttpHeaderNames.RETRY_AFTER));
-        return seconds >= 0 ? (long) Math.ceil(Math.min(seconds, MOST_WAIT_S) * US_PER_SECOND) : 0;
+        return seconds >= 0 ? (long) Math.ceil(Math.min(seconds, MAX_WAIT_S) * US_PER_SECOND) : 0;
     }
 
     /** The limit that a destination reported; null if it reported none, or none that can be parsed. */
-    private static Courier.Allowance allowance(final String report) {
+    private static Courier.ReportedLimit allowance(final String report) {
         if (report == null) {
             return null;
         }
@@ -815,8 +815,8 @@
         }
         // A share slightly above one is noise; far above it is invalid.
         final boolean whole =
-                shareLeft >= 0 && shareLeft <= MOST_SHARE && callsPerSecond >= 0 && callsPerSecond <= MOST_RATE;
-        return whole ? new Courier.Allowance(Math.min(1, shareLeft), callsPerSecond) : null;
+                shareLeft >= 0 && shareLeft <= MAX_SHARE && callsPerSecond >= 0 && callsPerSecond <= MAX_RATE;
+        return whole ? new Courier.ReportedLimit(Math.min(1, shareLeft), callsPerSecond) : null;
     }
 
     /** A number in an answer, or -1 if there is none. */
--- a/src/main/java/driftchute/node/Held.java
+++ b/src/main/java/driftchute/node/Held.java
@@ -114,9 +114,9 @@
     }
 
     /** The history for a process that did not make the attempts. A call in flight may have been executed. */
-    Courier.Past past(final Clock clock) {
+    Courier.MessageHistory past(final Clock clock) {
         final long firstWallUs = Math.min(firstRunWallUs, outWallUs);
         final boolean ran = firstWallUs != NEVER;
-        return new Courier.Past(attempts, ran, ran ? clock.fromWallUs(firstWallUs) : 0, isOut() ? outZone : runZone);
+        return new Courier.MessageHistory(attempts, ran, ran ? clock.fromWallUs(firstWallUs) : 0, isOut() ? outZone : runZone);
     }
 }
--- a/src/main/java/driftchute/node/Host.java
+++ b/src/main/java/driftchute/node/Host.java
@@ -1,7 +1,7 @@
 package driftchute.node;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import driftchute.Control;
+import driftchute.DeliveryPolicy;
 import driftchute.Courier;
 import driftchute.node.fleet.FleetLink;
 import io.netty.channel.EventLoop;
@@ -18,7 +18,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Connects the sockets, the journal and the decisions ({@link Control}): reports to the decisions what arrived in one
+ * Connects the sockets, the journal and the decisions ({@link DeliveryPolicy}): reports to the decisions what arrived in one
  * pass of the event loop, lets them decide once, and carries out the requested actions. It holds the open messages and
  * writes the journal before any byte that makes a promise. It holds nothing before it has taken over the journal, and
  * stops deciding when it hands over to the next process. Runs on the event loop's thread.
@@ -101,7 +101,7 @@
     private final Clock clock;
     private final Journal journal;
     private final Orders orders;
-    private final Control control;
+    private final DeliveryPolicy control;
     private final Endpoints endpoints;
     private final Discovery discovery;
     private final KnownList knownList;
@@ -126,7 +126,7 @@
 
     private final AtomicBoolean viewDue = new AtomicBoolean();
     /** State of earlier processes about destinations that are not listed yet. */
-    private final Map<Long, Courier.Memory> unlisted = new HashMap<>();
+    private final Map<Long, Courier.DestinationState> unlisted = new HashMap<>();
     /** End of the latest wait of each destination that was taken over from earlier processes. */
     private final Map<Long, Long> waitsTakenUs = new HashMap<>();
     /** Until when the predecessor's state counts as recent. */
@@ -151,7 +151,7 @@
         this.clock = clock;
         this.journal = journal;
         this.orders = orders;
-        this.control = new Control(config.settings(), config.seed(), this);
+        this.control = new DeliveryPolicy(config.settings(), config.seed(), this);
         this.endpoints = new Endpoints(config, loop, clock, this);
         this.discovery = new Discovery(config, loop, clock, this);
         this.discoveryAt = config.discovery();
@@ -244,7 +244,7 @@
                             loop.execute(this::readView);
                         }
                     });
-            control.onFleet(clock.nowUs(), fleet.view());
+            control.onFleetView(clock.nowUs(), fleet.view());
             fleet.start();
             loop.scheduleWithFixedDelay(
                     () -> fleet.report(control.reports(clock.nowUs())), REPORT_MS, REPORT_MS, TimeUnit.MILLISECONDS);
@@ -253,7 +253,7 @@
 
     private void readView() {
         viewDue.set(false);
-        control.onFleet(clock.nowUs(), fleet.view());
+        control.onFleetView(clock.nowUs(), fleet.view());
         touch();
     }
 
@@ -280,7 +280,7 @@
         }
         if (!journal.hasPredecessors()) {
             following.cancel(false);
-            control.onAlone(clock.nowUs());
+            control.onPredecessorGone(clock.nowUs());
             Log.info("the predecessor process has ended");
             touch();
         }
@@ -297,17 +297,17 @@
         }
     }
 
-    private void remember(final List<Courier.Memory> memories) {
+    private void remember(final List<Courier.DestinationState> memories) {
         final long aheadUs = clock.nowUs() - clock.wallUs();
         memories.forEach(memory -> remember(memory.onClock(aheadUs)));
     }
 
-    private void remember(final Courier.Memory memory) {
+    private void remember(final Courier.DestinationState memory) {
         final long destination = memory.destination();
         if (!discovery.hasEndpoint(destination)) {
             unlisted.put(destination, memory);
         }
-        control.onMemory(clock.nowUs(), memory);
+        control.onPredecessorState(clock.nowUs(), memory);
         final long leftUs = memory.waitUntilUs() - clock.nowUs();
         if (leftUs > 0) {
             final Long before = waitsTakenUs.put(destination, memory.waitUntilUs());
@@ -322,7 +322,7 @@
     private void hear() {
         final long heardWallUs = journal.heardWallUs();
         freshUntilUs = heardWallUs == Long.MAX_VALUE ? heardWallUs : clock.fromWallUs(heardWallUs) + HEARD_FRESH_US;
-        control.onHeard(clock.nowUs(), freshUntilUs);
+        control.onPredecessorFresh(clock.nowUs(), freshUntilUs);
         final boolean now = clock.nowUs() > freshUntilUs && clock.nowUs() - freshUntilUs > SILENT_US;
         if (now && !silent) {
             Log.event(
@@ -395,7 +395,7 @@
     }
 
     private void tell() {
-        if (messages.size() > PILE_SHARE * config.settings().limits().maxOpen()) {
+        if (messages.size() > PILE_SHARE * config.settings().limits().maxOpenMessages()) {
             Log.info("longest decision pass " + longestPassUs / US_PER_MS + " ms; " + control.describe(clock.nowUs()));
         }
         longestPassUs = 0;
@@ -416,7 +416,7 @@
     private void resume(final Held held, final int index) {
         final Open open =
                 new Open(held, config.settings().classes().get(index), clock.fromWallUs(held.validUntilWallUs), null);
-        final Courier.Past past = held.past(clock);
+        final Courier.MessageHistory past = held.past(clock);
         settle(held, false);
         messages.put(held.id, open);
         control.onResumed(clock.nowUs(), message(open, index), past);
@@ -454,7 +454,7 @@
     /** Accepts a message if there is space; its answer follows at the end of the pass. */
     void offer(final Held held, final long validUntilUs, final Reply reply) {
         final int open = leaving ? journal.count() : messages.size() + untold.size();
-        if (open >= config.settings().limits().maxOpen() || !journal.take(held)) {
+        if (open >= config.settings().limits().maxOpenMessages() || !journal.take(held)) {
             reply.refused(Intake.UNAVAILABLE, FULL_RETRY_US);
             return;
         }
@@ -480,7 +480,7 @@
         final Open open = messages.get(id);
         if (open != null) {
             forget(open);
-            control.onExpired(clock.nowUs(), id);
+            control.onWithdrawn(clock.nowUs(), id);
             touch();
         } else if (untold.remove(id) != null || leaving) {
             journal.over(id);
@@ -495,11 +495,11 @@
     /** The list changed, or could not be fetched. */
     void list(final Courier.Update update, final List<Courier.Endpoint> entries) {
         confirmed = update != Courier.Update.RESTORED;
-        control.onList(clock.nowUs(), update, entries);
+        control.onListUpdate(clock.nowUs(), update, entries);
         unlisted.values().removeIf(memory -> {
             final boolean named = discovery.hasEndpoint(memory.destination());
             if (named) {
-                control.onMemory(clock.nowUs(), memory.withCallsOut(journal.callsOutElsewhere(memory.destination())));
+                control.onPredecessorState(clock.nowUs(), memory.withCallsInFlight(journal.callsOutElsewhere(memory.destination())));
             }
             return named;
         });
@@ -541,7 +541,7 @@
         if (ends) {
             forget(open);
         } else if (goesOn) {
-            settle(open.held, answer.result().neverRan());
+            settle(open.held, answer.result().neverExecuted());
         }
         touch();
     }
@@ -593,7 +593,7 @@
         if (standing != heeded) {
             heeded = standing;
             final Set<Long> barred = discovery.idsOf(standing.out());
-            control.onBarred(clock.nowUs(), barred);
+            control.onEndpointsDisabled(clock.nowUs(), barred);
             barred.forEach(endpoints::bar);
             touch();
         }
@@ -687,12 +687,12 @@
     }
 
     @Override
-    public void closeIdle(final long endpoint) {
+    public void closeIdleConnections(final long endpoint) {
         endpoints.closeIdle(endpoint);
     }
 
     @Override
-    public void follow() {
+    public void followList() {
         discovery.follow();
     }
 
@@ -775,9 +775,9 @@
         endpoints.abandonAll();
     }
 
-    private List<Courier.Memory> memories() {
+    private List<Courier.DestinationState> memories() {
         final long aheadUs = clock.wallUs() - clock.nowUs();
-        return control.memories().stream()
+        return control.exportState().stream()
                 .map(memory -> memory.onClock(aheadUs))
                 .toList();
     }
--- a/src/main/java/driftchute/node/Intake.java
+++ b/src/main/java/driftchute/node/Intake.java
@@ -58,12 +58,12 @@
     static final int UNAVAILABLE = 503;
     private static final int ACCEPTED = 202;
     private static final int FAILED = 500;
-    private static final int MOST_BODY_BYTES = 1 << 16;
-    private static final int MOST_ID_CHARS = 128;
+    private static final int MAX_BODY_BYTES = 1 << 16;
+    private static final int MAX_ID_CHARS = 128;
     /** Maximum number of complete requests queued on one connection. Further requests stay unread until then. */
-    private static final int MOST_QUEUED = 16;
+    private static final int MAX_QUEUED = 16;
     /** Maximum size of all bodies that are being received or queued, over all connections, bytes. */
-    private static final int MOST_HELD_BYTES = 1 << 22;
+    private static final int MAX_HELD_BYTES = 1 << 22;
     /** Maximum size of one read from a connection, bytes, so that a client that floods does not delay the others. */
     private static final int READ_BYTES = 1 << 14;
     /** Size of the send buffer, bytes. A larger one would long hide that a client does not read its answers. */
@@ -555,7 +555,7 @@
 
         @Override
         public boolean mayGoOn() {
-            return queue.size() < MOST_QUEUED && context.channel().isWritable();
+            return queue.size() < MAX_QUEUED && context.channel().isWritable();
         }
 
         /** Stops reading from a client that does not read its answers, until it does. */
@@ -596,7 +596,7 @@
                     reject(HttpResponseStatus.BAD_REQUEST);
                     return;
                 }
-                if (HttpUtil.getContentLength(request, 0L) > MOST_BODY_BYTES) {
+                if (HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES) {
                     reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                     return;
                 }
@@ -605,11 +605,11 @@
             }
             if (part instanceof HttpContent content && reading) {
                 final int more = content.content().readableBytes();
-                if (body.size() + more > MOST_BODY_BYTES) {
+                if (body.size() + more > MAX_BODY_BYTES) {
                     reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                     return;
                 }
-                if (heldBytes + more > MOST_HELD_BYTES) {
+                if (heldBytes + more > MAX_HELD_BYTES) {
                     reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
                     return;
                 }
@@ -712,7 +712,7 @@
             final String key = headers.get("Idempotency-Key");
             final boolean keyed = kind.effect() == Courier.Effect.KEYED;
             if (id.isEmpty()
-                    || id.length() > MOST_ID_CHARS
+                    || id.length() > MAX_ID_CHARS
                     || timeoutMs < 0
                     || destination < 0
                     || !kind.name().equals(headers.get("X-Priority-Class"))
--- a/src/main/java/driftchute/node/Journal.java
+++ b/src/main/java/driftchute/node/Journal.java
@@ -38,7 +38,7 @@
 
     private static final int HEAD_BYTES = 2 * Integer.BYTES;
     /** Maximum number of journal files. An upgrade needs two, and another one directly after it a third. */
-    private static final int MOST_FILES = 8;
+    private static final int MAX_FILES = 8;
     /** Share of the disk for one file. With the file that replaces it, at most four fifths are used. */
     private static final double FILE_SHARE = 0.4;
     /** The same for an ending process while its successor writes its own file. */
@@ -109,7 +109,7 @@
     /** Opens the first file that no living process writes, and starts reading all others. */
     void open() throws IOException {
         Files.createDirectories(folder);
-        for (int number = 0; number < MOST_FILES; number++) {
+        for (int number = 0; number < MAX_FILES; number++) {
             final Path next = numbered(number);
             final Lock nextLock = new Lock(folder.resolve(next.getFileName() + ".lock"));
             if (path == null && nextLock.take()) {
@@ -145,7 +145,7 @@
 
     /** Removes files that killed compactions of other processes left without their journal. */
     private void removeUnfinished() throws IOException {
-        for (int number = 0; number < MOST_FILES; number++) {
+        for (int number = 0; number < MAX_FILES; number++) {
             final Path one = numbered(number);
             if (!one.equals(path) && !Files.exists(one)) {
                 Files.deleteIfExists(nextOf(one));
@@ -231,7 +231,7 @@
      * News from the files of earlier processes. {@code mine}: messages that this process has taken over. {@code over}:
      * messages of this process that were completed there. {@code memories}: destination states.
      */
-    record News(List<Held> mine, List<String> over, List<Courier.Memory> memories) {}
+    record News(List<Held> mine, List<String> over, List<Courier.DestinationState> memories) {}
 
     /** True while an earlier process may still be running, or its file is not completely taken over. */
     boolean hasPredecessors() {
@@ -278,8 +278,8 @@
 
     private void takeUp(final Predecessor predecessor, final News news) {
         final JournalReader reader = predecessor.reader();
-        for (final Courier.Memory memory : predecessor.takeMemories()) {
-            news.memories().add(memory.withCallsOut(callsOutElsewhere(memory.destination())));
+        for (final Courier.DestinationState memory : predecessor.takeMemories()) {
+            news.memories().add(memory.withCallsInFlight(callsOutElsewhere(memory.destination())));
         }
         for (final Held held : reader.live().values()) {
             final Held own = live.get(held.id);
@@ -305,7 +305,7 @@
      * Prepares the handover: this process only finishes its calls, and its successor reads the open messages from a
      * compacted file.
      */
-    void leave(final List<Courier.Memory> memories) {
+    void leave(final List<Courier.DestinationState> memories) {
         try {
             compact();
         } catch (final IOException e) {
@@ -323,22 +323,22 @@
     }
 
     /** Records the state of a destination for the successor. */
-    void remember(final Courier.Memory memory) {
+    void remember(final Courier.DestinationState memory) {
         append(record(MEMORY, "", out -> {
             out.writeLong(memory.destination());
-            out.writeInt(memory.callsOut());
-            out.writeInt(memory.phase().ordinal());
+            out.writeInt(memory.callsInFlight());
+            out.writeInt(memory.circuit().ordinal());
             out.writeLong(memory.waitUntilUs());
             out.writeLong(memory.pauseUntilUs());
-            out.writeLong(memory.troubleFromUs());
-            out.writeLong(memory.rampFromUs());
-            out.writeDouble(memory.rampSpanUs());
+            out.writeLong(memory.troubleSinceUs());
+            out.writeLong(memory.slowStartSinceUs());
+            out.writeDouble(memory.slowStartIntervalUs());
             out.writeDouble(memory.window());
-            out.writeDouble(memory.rate());
+            out.writeDouble(memory.messageRate());
             out.writeDouble(memory.callRate());
             out.writeDouble(memory.limit());
-            out.writeDouble(memory.shareLeft());
-            out.writeDouble(memory.spacing());
+            out.writeDouble(memory.unusedShare());
+            out.writeDouble(memory.maxSendRate());
             out.writeDouble(memory.pace());
         }));
     }
--- a/src/main/java/driftchute/node/JournalReader.java
+++ b/src/main/java/driftchute/node/JournalReader.java
@@ -31,14 +31,14 @@
     }
 
     private static final int HEAD_BYTES = 2 * Integer.BYTES;
-    private static final int MOST_RECORD_BYTES = 1 << 17;
+    private static final int MAX_RECORD_BYTES = 1 << 17;
     /** The writer never recorded this time; its release does not support it. */
     static final long NEVER_HEARD = -1;
 
     private final FileChannel file;
     private final Map<String, Held> live = new LinkedHashMap<>();
     private final Set<String> ended = new HashSet<>();
-    private final List<Courier.Memory> memories = new ArrayList<>();
+    private final List<Courier.DestinationState> memories = new ArrayList<>();
     private long position;
     private int records;
     private Tail tail = Tail.WHOLE;
@@ -63,7 +63,7 @@
         while (all.remaining() >= HEAD_BYTES) {
             final int length = all.getInt(all.position());
             final int start = all.position() + HEAD_BYTES;
-            if (length <= 0 || length > MOST_RECORD_BYTES) {
+            if (length <= 0 || length > MAX_RECORD_BYTES) {
                 tail = Tail.CORRUPT;
                 break;
             }
@@ -126,8 +126,8 @@
     }
 
     /** The destination states read since the last call. */
-    List<Courier.Memory> takeMemories() {
-        final List<Courier.Memory> all = List.copyOf(memories);
+    List<Courier.DestinationState> takeMemories() {
+        final List<Courier.DestinationState> all = List.copyOf(memories);
         memories.clear();
         return all;
     }
@@ -178,11 +178,11 @@
         return taken;
     }
 
-    private static Courier.Memory memory(final DataInputStream in) throws IOException {
-        return new Courier.Memory(
+    private static Courier.DestinationState memory(final DataInputStream in) throws IOException {
+        return new Courier.DestinationState(
                 in.readLong(),
                 in.readInt(),
-                Courier.Phase.values()[in.readInt()],
+                Courier.CircuitState.values()[in.readInt()],
                 in.readLong(),
                 in.readLong(),
                 in.readLong(),
--- a/src/main/java/driftchute/node/JsonValues.java
+++ b/src/main/java/driftchute/node/JsonValues.java
@@ -18,7 +18,7 @@
      * Maximum size of a value, with the white space before it, counted in whole reads since the one that completed the
      * previous value.
      */
-    static final int MOST_BYTES = 1 << 22;
+    static final int MAX_BYTES = 1 << 22;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -56,8 +56,8 @@
     void read(final byte[] bytes) {
         look(bytes);
         pendingBytes += bytes.length;
-        if (pendingBytes > MOST_BYTES) {
-            throw new IllegalArgumentException("the list exceeds " + MOST_BYTES + " bytes");
+        if (pendingBytes > MAX_BYTES) {
+            throw new IllegalArgumentException("the list exceeds " + MAX_BYTES + " bytes");
         }
         try {
             feeder.feedInput(bytes, 0, bytes.length);
--- a/src/main/java/driftchute/node/LingeringClose.java
+++ b/src/main/java/driftchute/node/LingeringClose.java
@@ -20,7 +20,7 @@
      * Maximum input that is discarded, bytes. If a client sends more, reading stops and its connection is reset at the
      * end.
      */
-    private static final int MOST_DRAINED_BYTES = 1 << 18;
+    private static final int MAX_DRAINED_BYTES = 1 << 18;
 
     private final ChannelFuture lastWritten;
     private int drainedBytes;
@@ -50,7 +50,7 @@
             drainedBytes += bytes.readableBytes();
         }
         ReferenceCountUtil.release(part);
-        if (drainedBytes > MOST_DRAINED_BYTES) {
+        if (drainedBytes > MAX_DRAINED_BYTES) {
             context.channel().config().setAutoRead(false);
         }
     }
--- a/src/main/java/driftchute/node/Management.java
+++ b/src/main/java/driftchute/node/Management.java
@@ -31,7 +31,7 @@
  * callers that send nothing.
  */
 final class Management {
-    private static final int MOST_LINE_BYTES = 256;
+    private static final int MAX_LINE_BYTES = 256;
     /** Time within which a caller must have sent a complete line. */
     private static final long CALL_MS = 5000;
 
@@ -42,7 +42,7 @@
      */
     private static final double SOCKET_SHARE = 0.05;
 
-    private static final int LEAST_CALLERS = 8;
+    private static final int MIN_CALLERS = 8;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Orders orders;
@@ -59,7 +59,7 @@
         this.orders = orders;
         this.serves = serves;
         this.listed = listed;
-        this.mostCallers = (int) Math.max(LEAST_CALLERS, SOCKET_SHARE * config.sockets());
+        this.mostCallers = (int) Math.max(MIN_CALLERS, SOCKET_SHARE * config.sockets());
     }
 
     ChannelFuture listen(final Config config) {
@@ -71,7 +71,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(final Channel channel) {
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(MOST_LINE_BYTES), new Call());
+                        channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES), new Call());
                     }
                 })
                 .bind(config.mgmt());
--- a/src/main/java/driftchute/node/Notices.java
+++ b/src/main/java/driftchute/node/Notices.java
@@ -40,18 +40,18 @@
      * Bounds of the time-out for an answer. The platform normally answers at once, so a longer silence means that the
      * connection is dead. Doubled with each failure for a platform or machine that is slow.
      */
-    private static final long ANSWER_LEAST_MS = 100;
+    private static final long MIN_ANSWER_MS = 100;
 
-    private static final long ANSWER_MOST_MS = 1000;
+    private static final long MAX_ANSWER_MS = 1000;
     /**
      * First and longest back-off. A notice is overdue 0.3 s after its message's deadline (PROTOCOL-irishead.md, The
      * rules on sockets), so it must arrive within that time once the platform is reachable again.
      */
-    private static final long AGAIN_LEAST_MS = 50;
+    private static final long MIN_AGAIN_MS = 50;
 
-    private static final long AGAIN_MOST_MS = 100;
-    private static final int MOST_IN_BATCH = 64;
-    private static final int MOST_BODY_BYTES = 1 << 16;
+    private static final long MAX_AGAIN_MS = 100;
+    private static final int MAX_IN_BATCH = 64;
+    private static final int MAX_BODY_BYTES = 1 << 16;
     private static final int CONFIRMED = 204;
     private static final int UNREADABLE = 400;
 
@@ -67,9 +67,9 @@
     private Line line;
     private Future<?> answerBy;
     private Future<?> again;
-    private long backOffMs = AGAIN_LEAST_MS;
-    private long answerMs = ANSWER_LEAST_MS;
-    private int most = MOST_IN_BATCH;
+    private long backOffMs = MIN_AGAIN_MS;
+    private long answerMs = MIN_ANSWER_MS;
+    private int most = MAX_IN_BATCH;
 
     Notices(final InetSocketAddress address, final EventLoop loop, final Host host) {
         this(address, loop, host::noticed);
@@ -113,8 +113,8 @@
             return;
         }
         address = next;
-        backOffMs = AGAIN_LEAST_MS;
-        answerMs = ANSWER_LEAST_MS;
+        backOffMs = MIN_AGAIN_MS;
+        answerMs = MIN_ANSWER_MS;
         if (again != null) {
             again.cancel(false);
             again = null;
@@ -129,7 +129,7 @@
         for (final Held held : owed) {
             final String next = text(held);
             // An id arrived in a header, so its characters take at most two bytes each.
-            if (batch.size() == most || !batch.isEmpty() && 2 * (text.length() + next.length()) >= MOST_BODY_BYTES) {
+            if (batch.size() == most || !batch.isEmpty() && 2 * (text.length() + next.length()) >= MAX_BODY_BYTES) {
                 break;
             }
             batch.add(held);
@@ -154,9 +154,9 @@
             stopWaiting();
             confirmed.forEach(owed::remove);
             confirmation.accept(confirmed);
-            backOffMs = AGAIN_LEAST_MS;
-            answerMs = ANSWER_LEAST_MS;
-            most = Math.min(MOST_IN_BATCH, 2 * most);
+            backOffMs = MIN_AGAIN_MS;
+            answerMs = MIN_ANSWER_MS;
+            most = Math.min(MAX_IN_BATCH, 2 * most);
             flush();
             return;
         }
@@ -174,7 +174,7 @@
     }
 
     private void unanswered() {
-        answerMs = Math.min(2 * answerMs, ANSWER_MOST_MS);
+        answerMs = Math.min(2 * answerMs, MAX_ANSWER_MS);
         failed();
     }
 
@@ -192,7 +192,7 @@
                 },
                 backOffMs,
                 TimeUnit.MILLISECONDS);
-        backOffMs = Math.min(2 * backOffMs, AGAIN_MOST_MS);
+        backOffMs = Math.min(2 * backOffMs, MAX_AGAIN_MS);
     }
 
     private void rest() {
@@ -227,7 +227,7 @@
                             fresh.pipeline()
                                     .addLast(
                                             new HttpClientCodec(),
-                                            new HttpObjectAggregator(MOST_BODY_BYTES),
+                                            new HttpObjectAggregator(MAX_BODY_BYTES),
                                             Line.this);
                         }
                     })
--- a/src/main/java/driftchute/node/Predecessor.java
+++ b/src/main/java/driftchute/node/Predecessor.java
@@ -48,9 +48,9 @@
     }
 
     /** The destination states that were reported since the last call. */
-    List<Courier.Memory> takeMemories() {
-        final List<Courier.Memory> news = reader.takeMemories();
-        news.forEach(memory -> callsOut.put(memory.destination(), memory.callsOut()));
+    List<Courier.DestinationState> takeMemories() {
+        final List<Courier.DestinationState> news = reader.takeMemories();
+        news.forEach(memory -> callsOut.put(memory.destination(), memory.callsInFlight()));
         return news;
     }
 
--- a/src/main/java/driftchute/node/RequestDecoder.java
+++ b/src/main/java/driftchute/node/RequestDecoder.java
@@ -16,8 +16,8 @@
  * another.
  */
 final class RequestDecoder extends HttpRequestDecoder {
-    private static final int MOST_LINE_BYTES = 2048;
-    private static final int MOST_HEAD_BYTES = 8192;
+    private static final int MAX_LINE_BYTES = 2048;
+    private static final int MAX_HEAD_BYTES = 8192;
 
     /** Callbacks of the connection while requests arrive. */
     interface Flow {
@@ -40,8 +40,8 @@
 
     RequestDecoder(final Flow flow) {
         super(new HttpDecoderConfig()
-                .setMaxInitialLineLength(MOST_LINE_BYTES)
-                .setMaxHeaderSize(MOST_HEAD_BYTES)
+                .setMaxInitialLineLength(MAX_LINE_BYTES)
+                .setMaxHeaderSize(MAX_HEAD_BYTES)
                 .setAllowDuplicateContentLengths(false)
                 .setStrictLineParsing(true)
                 .setUseRfc9112TransferEncoding(true));
--- a/src/main/java/driftchute/node/Watches.java
+++ b/src/main/java/driftchute/node/Watches.java
@@ -56,9 +56,9 @@
      * Bounds of the delay before the next request after a failed connection: well within the grace period of a drain,
      * without a busy loop.
      */
-    private static final long REST_LEAST_US = 50_000;
+    private static final long MIN_REST_US = 50_000;
 
-    private static final long REST_MOST_US = 100_000;
+    private static final long MAX_REST_US = 100_000;
     /** No version of the list is known that the current server would understand. */
     private static final long NONE = -1;
 
@@ -425,7 +425,7 @@
                 newest = older;
                 final boolean hurry = byteUs == 0 && !speaks(older);
                 restUntilUs = Math.max(
-                        clock.getAsLong() + random.nextLong(REST_LEAST_US, REST_MOST_US),
+                        clock.getAsLong() + random.nextLong(MIN_REST_US, MAX_REST_US),
                         hurry ? 0 : askedUs + (speaks(relieved) ? HASTE_US : PACE_US));
             }
             older = null;
--- a/src/main/java/driftchute/node/fleet/FleetLink.java
+++ b/src/main/java/driftchute/node/fleet/FleetLink.java
@@ -42,7 +42,7 @@
  * its limit are dropped and counted.
  */
 public final class FleetLink {
-    private static final int MOST_REPORTS = 1024;
+    private static final int MAX_REPORTS = 1024;
     /** One byte more than the longest valid datagram, so that a longer one is detected. */
     private static final int READ_BYTES = 257;
     /** Interval of attempts to bind the address while another process of this courier holds it. */
@@ -64,7 +64,7 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("fleet", true), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<List<Courier.Report>> reports = new ArrayBlockingQueue<>(MOST_REPORTS);
+    private final BlockingQueue<List<Courier.DestinationReport>> reports = new ArrayBlockingQueue<>(MAX_REPORTS);
     private final AtomicBoolean turnDue = new AtomicBoolean();
     private final AtomicLong droppedReports = new AtomicLong();
     private volatile Courier.FleetView view;
@@ -213,8 +213,8 @@
         if (ended || state == null) {
             return;
         }
-        for (List<Courier.Report> next = reports.poll(); next != null; next = reports.poll()) {
-            final List<Courier.Report> batch = next;
+        for (List<Courier.DestinationReport> next = reports.poll(); next != null; next = reports.poll()) {
+            final List<Courier.DestinationReport> batch = next;
             guarded("a report", () -> state.reports(now(), batch));
         }
         final long[] dueUs = {monoUs.getAsLong() + TURN_US};
@@ -277,7 +277,7 @@
     }
 
     /** Passes on what the traffic knows and needs. Thread-safe; never blocks. */
-    public void report(final List<Courier.Report> batch) {
+    public void report(final List<Courier.DestinationReport> batch) {
         if (!reports.offer(batch)) {
             droppedReports.incrementAndGet();
         }
