--- a/src/main/java/driftchute/node/Discovery.java
+++ b/src/main/java/driftchute/node/Discovery.java
@@ -16,48 +16,48 @@
 import java.util.stream.StreamSupport;
 
 /** The list of endpoints: at first a stored or configured copy, then what the watches report. */
-final class Discovery implements Watches.Listener {
+final class Discovery implements ListWatcher.Listener {
     /** Time since the last news within which an unlisted destination is considered not to exist. */
-    private static final long FRESH_US = 10_000_000;
+    private static final long FRESH_LIST_US = 10_000_000;
     /** Time for which a destination without endpoints is remembered. */
-    private static final long VACANT_US = 120_000_000;
+    private static final long REMEMBER_DESTINATION_US = 120_000_000;
 
     /** A list entry. {@code dial} is null for an endpoint that is gone. */
-    private record Entry(Courier.Endpoint endpoint, InetSocketAddress dial) {}
+    private record ListEntry(Courier.Endpoint endpoint, InetSocketAddress dial) {}
 
     private final Config config;
     private final Clock clock;
     private final Host host;
-    private final Watches watches;
+    private final ListWatcher watcher;
     /**
      * The latest entry of every endpoint that was ever listed. An endpoint that is listed again is the same one, with
      * its waits and outages. Also read on the management thread.
      */
-    private final Map<String, Courier.Endpoint> named = new ConcurrentHashMap<>();
+    private final Map<String, Courier.Endpoint> everListed = new ConcurrentHashMap<>();
 
-    private final Map<Long, Courier.Endpoint> known = new HashMap<>();
+    private final Map<Long, Courier.Endpoint> listed = new HashMap<>();
     private long nextId = 1;
     /** When each destination last had an endpoint. It may have none for a while between two endpoints. */
-    private final Map<Long, Long> destinations = new HashMap<>();
+    private final Map<Long, Long> destinationSeenUs = new HashMap<>();
 
     Discovery(final Config config, final EventLoop loop, final Clock clock, final Host host) {
         this.config = config;
         this.clock = clock;
         this.host = host;
-        this.watches = new Watches(config.discovery(), loop, clock::nowUs, config.seed(), this);
+        this.watcher = new ListWatcher(config.discovery(), loop, clock::nowUs, config.seed(), this);
     }
 
     /** Starts with the list that this courier last had, which may be outdated. */
     void restore(final JsonNode list) {
         if (list.path("hosts").isArray()) {
             apply(list, Courier.Update.RESTORED, config.discovery());
-            watches.knows(list.path("seq").asLong());
+            watcher.setVersion(list.path("seq").asLong());
         }
     }
 
     /** Maximum number of messages in one call to an endpoint. */
     int messagesPerCall(final long endpoint) {
-        final Courier.Endpoint entry = known.get(endpoint);
+        final Courier.Endpoint entry = listed.get(endpoint);
         return entry == null || entry.kind() < 0
                 ? 1
                 : config.settings().destinationKinds().get(entry.kind()).messagesPerCall();
@@ -68,56 +68,56 @@
      * refusing one that was added meanwhile would be wrong, and a message without an endpoint is refused later.
      */
     boolean knows(final long destination) {
-        return destinations.containsKey(destination) || clock.nowUs() - watches.freshUs() > FRESH_US;
+        return destinationSeenUs.containsKey(destination) || clock.nowUs() - watcher.freshUs() > FRESH_LIST_US;
     }
 
     /** True if the list has ever named that endpoint to this process. Thread-safe. */
     boolean hasListed(final String name) {
-        return named.containsKey(name);
+        return everListed.containsKey(name);
     }
 
     /** The ids of those of the named endpoints that are listed now. */
     Set<Long> idsOf(final Set<String> names) {
         return names.stream()
-                .map(named::get)
+                .map(everListed::get)
                 .filter(Objects::nonNull)
                 .map(Courier.Endpoint::id)
-                .filter(known::containsKey)
+                .filter(listed::containsKey)
                 .collect(Collectors.toSet());
     }
 
     /** True if an endpoint of that destination is listed now. */
     boolean hasEndpoint(final long destination) {
-        return known.values().stream().anyMatch(entry -> entry.destination() == destination);
+        return listed.values().stream().anyMatch(entry -> entry.destination() == destination);
     }
 
     String zone(final long endpoint) {
-        final Courier.Endpoint entry = known.get(endpoint);
+        final Courier.Endpoint entry = listed.get(endpoint);
         return entry == null ? "" : entry.zone();
     }
 
     /** Subscribes to changes of the list. */
     void follow() {
-        watches.follow();
+        watcher.start();
     }
 
     /** Switches to another list service, which numbers its versions independently. */
-    void move(final InetSocketAddress next) {
-        watches.move(next);
+    void switchTo(final InetSocketAddress next) {
+        watcher.switchTo(next);
     }
 
     @Override
-    public void told(final JsonNode list, final InetSocketAddress from) {
+    public void onList(final JsonNode list, final InetSocketAddress from) {
         apply(list, list.path("whole").asBoolean() ? Courier.Update.WHOLE : Courier.Update.CHANGES, from);
     }
 
     @Override
-    public void unchanged() {
+    public void onUnchanged() {
         host.list(Courier.Update.CHANGES, List.of());
     }
 
     @Override
-    public void lost() {
+    public void onLost() {
         host.list(Courier.Update.LOST, List.of());
     }
 
@@ -125,22 +125,22 @@
         if (update != Courier.Update.CHANGES && !list.path("hosts").isArray()) {
             throw new IllegalArgumentException("a complete list without hosts");
         }
-        final List<Entry> entries = new ArrayList<>();
+        final List<ListEntry> entries = new ArrayList<>();
         // Parses all entries first, so that an invalid one leaves the list unchanged.
         list.path("hosts").forEach(node -> entries.add(entry(node)));
-        final List<Long> gone = update == Courier.Update.CHANGES ? new ArrayList<>() : new ArrayList<>(known.keySet());
-        for (final Entry entry : entries) {
+        final List<Long> gone = update == Courier.Update.CHANGES ? new ArrayList<>() : new ArrayList<>(listed.keySet());
+        for (final ListEntry entry : entries) {
             final Courier.Endpoint endpoint = entry.endpoint();
             gone.remove(endpoint.id());
             if (endpoint.condition() == Courier.Condition.GONE) {
                 gone.add(endpoint.id());
                 continue;
             }
-            known.put(endpoint.id(), endpoint);
-            destinations.put(endpoint.destination(), clock.nowUs());
-            final boolean apart = endpoint.kind() >= 0
+            listed.put(endpoint.id(), endpoint);
+            destinationSeenUs.put(endpoint.destination(), clock.nowUs());
+            final boolean separateRoute = endpoint.kind() >= 0
                     && config.settings().destinationKinds().get(endpoint.kind()).separateRoutes();
-            host.endpoints().listed(endpoint, apart, entry.dial());
+            host.endpoints().onListed(endpoint, separateRoute, entry.dial());
         }
         host.told(list, update, from);
         Log.event(
@@ -150,22 +150,22 @@
                 "seq",
                 list.path("seq").asLong(),
                 "after",
-                watches.version(),
+                watcher.version(),
                 "entries",
                 entries.size(),
                 "unready",
-                unready(list),
+                describeUnready(list),
                 "from",
                 String.valueOf(from));
-        host.list(update, entries.stream().map(Entry::endpoint).toList());
+        host.list(update, entries.stream().map(ListEntry::endpoint).toList());
         gone.forEach(this::forget);
         final long nowUs = clock.nowUs();
-        known.values().forEach(entry -> destinations.put(entry.destination(), nowUs));
-        destinations.values().removeIf(seenUs -> seenUs < nowUs - VACANT_US);
+        listed.values().forEach(entry -> destinationSeenUs.put(entry.destination(), nowUs));
+        destinationSeenUs.values().removeIf(seenUs -> seenUs < nowUs - REMEMBER_DESTINATION_US);
     }
 
     /** Names and health of the listed endpoints that accept nothing new, for the log. */
-    private static String unready(final JsonNode list) {
+    private static String describeUnready(final JsonNode list) {
         return StreamSupport.stream(list.path("hosts").spliterator(), false)
                 .filter(node -> !node.path("health").asText().equals("Ready"))
                 .map(node ->
@@ -174,16 +174,16 @@
     }
 
     private void forget(final long endpoint) {
-        host.endpoints().removed(endpoint);
-        final Courier.Endpoint entry = known.remove(endpoint);
+        host.endpoints().onRemoved(endpoint);
+        final Courier.Endpoint entry = listed.remove(endpoint);
         if (entry != null) {
-            destinations.put(entry.destination(), clock.nowUs());
+            destinationSeenUs.put(entry.destination(), clock.nowUs());
         }
     }
 
-    private Entry entry(final JsonNode node) {
+    private ListEntry entry(final JsonNode node) {
         final Courier.Endpoint endpoint = endpoint(node);
-        return new Entry(
+        return new ListEntry(
                 endpoint,
                 endpoint.condition() == Courier.Condition.GONE
                         ? null
@@ -210,7 +210,7 @@
             }
         }
         final long block = node.path("block").asLong();
-        final Courier.Endpoint before = named.get(name);
+        final Courier.Endpoint before = everListed.get(name);
         final boolean same = before != null
                 && (condition == Courier.Condition.GONE || before.kind() == kind && before.destination() == block);
         final Courier.Endpoint endpoint = new Courier.Endpoint(
@@ -221,7 +221,7 @@
                 kind,
                 block);
         if (!same || condition != Courier.Condition.GONE) {
-            named.put(name, endpoint);
+            everListed.put(name, endpoint);
         }
         return endpoint;
     }
--- a/src/main/java/driftchute/node/CallChannel.java
+++ b/src/main/java/driftchute/node/EndpointChannel.java
@@ -9,7 +9,7 @@
  * A connection for calls that supports a stale check. The event loop notices what has arrived only in its next turn; a
  * call written in this turn could meet the endpoint's close, or bytes that do not answer it.
  */
-final class CallChannel extends NioSocketChannel {
+final class EndpointChannel extends NioSocketChannel {
     /**
      * True if the peer has closed the connection or unread bytes have arrived. The connection is unusable then, because
      * this check may consume one byte. Only before the last byte of a call, on the event loop's thread.
--- a/src/main/java/driftchute/node/Endpoints.java
+++ b/src/main/java/driftchute/node/EndpointClient.java
@@ -53,7 +53,7 @@
  * Reports to the {@link Host} what became of each message, in particular whether it may have been executed: this
  * depends on whether the call's last byte was written before the connection broke.
  */
-final class Endpoints {
+final class EndpointClient {
     private static final long US_PER_MS = 1000;
     private static final double US_PER_SECOND = 1_000_000;
     private static final int MAX_BODY_BYTES = 1 << 16;
@@ -66,25 +66,25 @@
     private static final double SOCKET_SHARE = 0.4;
 
     private static final int OK = 200;
-    private static final int INFORMATIONAL = 200;
+    private static final int FIRST_FINAL_STATUS = 200;
     private static final int MAX_STATUS = 599;
     private static final int GONE = 410;
-    private static final int BUSY = 429;
+    private static final int TOO_MANY_REQUESTS = 429;
     private static final int UNAVAILABLE = 503;
-    private static final int NO_MORE = 504;
+    private static final int GATEWAY_TIMEOUT = 504;
 
     /**
      * Maximum time from an answer's first byte to its last, ms. The endpoint has the whole answer when it begins to
      * send.
      */
-    private static final long ANSWER_MS = 500;
+    private static final long ANSWER_COMPLETION_MS = 500;
     /**
      * Rest of a connection between an answer and its next call, us. Bytes that belong to no call may still arrive right
      * after an answer.
      */
-    private static final long REST_US = 5_000;
+    private static final long CONNECTION_REST_US = 5_000;
     /** Delay before a call tries again to get a descriptor or permission to be written, us. */
-    private static final long ROOM_US = 20_000;
+    private static final long RETRY_DELAY_US = 20_000;
     /** A number in an answer: no sign, exponent or word. */
     private static final Pattern NUMBER = Pattern.compile("\\d{1,12}(\\.\\d{1,18})?");
     /**
@@ -96,61 +96,61 @@
     private static final double MAX_RATE = 1e6;
     private static final double MAX_SHARE = 2;
     /** State of a message that an answer does not mention, or mentions with two states. */
-    private static final String UNREADABLE = "";
+    private static final String UNKNOWN_STATE = "";
 
     private final Clock clock;
     private final EventLoop loop;
     private final Host host;
     private final Bootstrap bootstrap;
     private final ObjectMapper json = new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
-    private final long idleUs;
+    private final long idleTimeoutUs;
     private final long connectTimeoutUs;
-    private final Map<Long, Pool> pools = new HashMap<>();
+    private final Map<Long, ConnectionPool> pools = new HashMap<>();
     private final Set<Call> calls = new HashSet<>();
     private int connections;
-    private boolean keepsNone;
+    private boolean closeAfterUse;
 
     /** The outcome of a message's part in a call. {@code waitUs}: the wait that the answer asked for, or 0. */
-    record Answer(Result result, boolean over, long waitUs, Courier.ReportedLimit allowance) {}
+    record MessageOutcome(Result result, boolean isFinal, long waitUs, Courier.ReportedLimit reportedLimit) {}
 
-    Endpoints(final Config config, final EventLoop loop, final Clock clock, final Host host) {
+    EndpointClient(final Config config, final EventLoop loop, final Clock clock, final Host host) {
         this.clock = clock;
         this.loop = loop;
         this.host = host;
-        this.idleUs = (long) (IDLE_SHARE * config.settings().limits().idleTimeoutUs());
+        this.idleTimeoutUs = (long) (IDLE_SHARE * config.settings().limits().idleTimeoutUs());
         this.connectTimeoutUs = config.connectTimeoutUs();
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .channelFactory(CallChannel::new)
+                .channelFactory(EndpointChannel::new)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeoutUs / US_PER_MS))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(final Channel channel) {
-                        final Reader reader = new Reader();
-                        channel.pipeline().addLast(new AnswerDecoder(reader), new HttpRequestEncoder(), reader);
+                        final EndpointConnection connection = new EndpointConnection();
+                        channel.pipeline().addLast(new ResponseDecoder(connection), new HttpRequestEncoder(), connection);
                     }
                 });
-        final long sweepUs = Math.max(US_PER_MS, idleUs / 8);
-        loop.scheduleWithFixedDelay(this::closeOld, sweepUs, sweepUs, TimeUnit.MICROSECONDS);
+        final long sweepUs = Math.max(US_PER_MS, idleTimeoutUs / 8);
+        loop.scheduleWithFixedDelay(this::closeExpired, sweepUs, sweepUs, TimeUnit.MICROSECONDS);
     }
 
     // ---------------------------------------------------------------- state
 
     /** The connections to one endpoint. */
-    private static final class Pool {
+    private static final class ConnectionPool {
         private final long endpoint;
         private final long destination;
-        private final boolean apart;
+        private final boolean separateRoute;
         private InetSocketAddress address;
         /** Idle connections, the most recently used last. */
-        private final Deque<Reader> idle = new ArrayDeque<>();
+        private final Deque<EndpointConnection> idle = new ArrayDeque<>();
         /** The endpoint drains or is gone: unwritten calls go elsewhere, and no connection is kept. */
         private boolean closing;
 
-        Pool(final Courier.Endpoint entry, final boolean apart, final InetSocketAddress address) {
+        ConnectionPool(final Courier.Endpoint entry, final boolean separateRoute, final InetSocketAddress address) {
             this.endpoint = entry.id();
             this.destination = entry.destination();
-            this.apart = apart;
+            this.separateRoute = separateRoute;
             this.address = address;
         }
 
@@ -158,8 +158,8 @@
          * True if a wait requested there also holds for the other pool. An endpoint that is listed again counts as the
          * same endpoint.
          */
-        private boolean binds(final Pool other) {
-            return apart ? endpoint == other.endpoint : destination == other.destination;
+        private boolean sharesWaitsWith(final ConnectionPool other) {
+            return separateRoute ? endpoint == other.endpoint : destination == other.destination;
         }
     }
 
@@ -168,32 +168,32 @@
      * is too late for all of them.
      */
     static final class Call {
-        private final Pool pool;
+        private final ConnectionPool pool;
         private final long endpoint;
         private final long sentUs;
         private final long deadlineUs;
-        private final List<Host.Parcel> parcels;
+        private final List<Host.Parcel> items;
         /** Timers of the call: time-outs, and the end of a connection's rest. */
         private final List<Future<?>> timers = new ArrayList<>();
 
         private Channel channel;
-        private Reader reader;
+        private EndpointConnection connection;
         private boolean started;
         private boolean written;
 
-        Call(final Pool pool, final long endpoint, final List<Host.Parcel> parcels, final long sentUs) {
+        Call(final ConnectionPool pool, final long endpoint, final List<Host.Parcel> items, final long sentUs) {
             this.pool = pool;
             this.endpoint = endpoint;
-            this.parcels = List.copyOf(parcels);
+            this.items = List.copyOf(items);
             this.sentUs = sentUs;
             this.deadlineUs = Math.min(
                     sentUs
-                            + parcels.stream()
+                            + items.stream()
                                     .mapToLong(Host.Parcel::timeoutUs)
                                     .max()
                                     .orElse(0),
-                    parcels.stream()
-                            .mapToLong(parcel -> parcel.open().validUntilUs)
+                    items.stream()
+                            .mapToLong(item -> item.open().validUntilUs)
                             .min()
                             .orElse(sentUs));
         }
@@ -206,41 +206,41 @@
             return sentUs;
         }
 
-        List<Host.Parcel> parcels() {
-            return parcels;
+        List<Host.Parcel> items() {
+            return items;
         }
 
         /** True if none of its messages has a recorded attempt, so that waiting costs nothing but time. */
         private boolean isUntried() {
-            return parcels.stream()
-                    .map(parcel -> parcel.open().held)
+            return items.stream()
+                    .map(item -> item.open().held)
                     .allMatch(held -> held.firstRunWallUs() == Held.NEVER && !held.isOut());
         }
 
-        private boolean isBulk() {
-            return parcels.size() > 1;
+        private boolean hasSeveralMessages() {
+            return items.size() > 1;
         }
     }
 
     /** The list named an endpoint, or changed its address or condition. */
-    void listed(final Courier.Endpoint entry, final boolean apart, final InetSocketAddress address) {
-        final Pool pool = pools.computeIfAbsent(entry.id(), unused -> new Pool(entry, apart, address));
+    void onListed(final Courier.Endpoint entry, final boolean separateRoute, final InetSocketAddress address) {
+        final ConnectionPool pool = pools.computeIfAbsent(entry.id(), unused -> new ConnectionPool(entry, separateRoute, address));
         if (!pool.address.equals(address)) {
             pool.address = address;
-            bar(entry.id());
+            stopUsing(entry.id());
         }
         pool.closing = entry.condition() == Courier.Condition.DRAINING;
         if (pool.closing) {
-            bar(entry.id());
+            stopUsing(entry.id());
         }
     }
 
     /** The list no longer names an endpoint. */
-    void removed(final long endpoint) {
-        final Pool pool = pools.get(endpoint);
+    void onRemoved(final long endpoint) {
+        final ConnectionPool pool = pools.get(endpoint);
         if (pool != null) {
             pool.closing = true;
-            bar(endpoint);
+            stopUsing(endpoint);
             pools.remove(endpoint);
         }
     }
@@ -250,15 +250,15 @@
      * moved. A connection may take far longer to come up than the grace period of a drain (PROTOCOL-irishead.md,
      * Figures: a send runs from its first byte).
      */
-    void bar(final long endpoint) {
+    void stopUsing(final long endpoint) {
         closeIdle(endpoint);
         abandonUnwritten(call -> call.endpoint == endpoint);
     }
 
     void closeIdle(final long endpoint) {
-        final Pool pool = pools.get(endpoint);
+        final ConnectionPool pool = pools.get(endpoint);
         if (pool != null) {
-            List.copyOf(pool.idle).forEach(Reader::close);
+            List.copyOf(pool.idle).forEach(EndpointConnection::close);
         }
     }
 
@@ -266,18 +266,18 @@
      * Closes connections before the endpoint does. A request that crosses the endpoint's close may have been executed
      * or not.
      */
-    private void closeOld() {
-        final long beforeUs = clock.nowUs() - idleUs;
+    private void closeExpired() {
+        final long beforeUs = clock.nowUs() - idleTimeoutUs;
         pools.values()
                 .forEach(pool -> List.copyOf(pool.idle).stream()
-                        .filter(reader -> reader.idleSinceUs <= beforeUs)
-                        .forEach(Reader::close));
+                        .filter(connection -> connection.idleSinceUs <= beforeUs)
+                        .forEach(EndpointConnection::close));
     }
 
     /** Closes all idle connections, and from now on keeps none, because no more calls will begin here. */
     void closeAllIdle() {
-        keepsNone = true;
-        pools.values().forEach(pool -> List.copyOf(pool.idle).forEach(Reader::close));
+        closeAfterUse = true;
+        pools.values().forEach(pool -> List.copyOf(pool.idle).forEach(EndpointConnection::close));
     }
 
     private int mostConnections() {
@@ -288,15 +288,15 @@
         pools.values().stream()
                 .filter(pool -> !pool.idle.isEmpty())
                 .map(pool -> pool.idle.peekFirst())
-                .min(Comparator.comparingLong(reader -> reader.idleSinceUs))
-                .ifPresent(Reader::close);
+                .min(Comparator.comparingLong(connection -> connection.idleSinceUs))
+                .ifPresent(EndpointConnection::close);
     }
 
     // ---------------------------------------------------------------- calls
 
     /** Creates a call that has not begun, so that it can be journaled first. */
-    Call prepare(final long endpoint, final List<Host.Parcel> parcels) {
-        return new Call(pools.get(endpoint), endpoint, parcels, clock.nowUs());
+    Call prepare(final long endpoint, final List<Host.Parcel> items) {
+        return new Call(pools.get(endpoint), endpoint, items, clock.nowUs());
     }
 
     void start(final Call call) {
@@ -305,13 +305,13 @@
             return;
         }
         calls.add(call);
-        later(call, call.deadlineUs - call.sentUs, () -> abandon(call, Result.TIMED_OUT));
+        schedule(call, call.deadlineUs - call.sentUs, () -> abandon(call, Result.TIMED_OUT));
         call.started = true;
         dispatch(call);
     }
 
     /** Schedules an action for a call. It is cancelled when the call ends. */
-    private void later(final Call call, final long delayUs, final Runnable action) {
+    private void schedule(final Call call, final long delayUs, final Runnable action) {
         call.timers.add(loop.schedule(action, delayUs, TimeUnit.MICROSECONDS));
     }
 
@@ -331,21 +331,21 @@
         }
         final long nowUs = clock.nowUs();
         long restUs = Long.MAX_VALUE;
-        final List<Reader> newestFirst = new ArrayList<>(call.pool.idle);
+        final List<EndpointConnection> newestFirst = new ArrayList<>(call.pool.idle);
         Collections.reverse(newestFirst);
-        for (final Reader reader : newestFirst) {
-            if (reader.idleSinceUs + REST_US > nowUs) {
-                restUs = Math.min(restUs, reader.idleSinceUs + REST_US - nowUs);
-            } else if (reader.idleSinceUs + idleUs <= nowUs || reader.isStale()) {
-                reader.close();
+        for (final EndpointConnection connection : newestFirst) {
+            if (connection.idleSinceUs + CONNECTION_REST_US > nowUs) {
+                restUs = Math.min(restUs, connection.idleSinceUs + CONNECTION_REST_US - nowUs);
+            } else if (connection.idleSinceUs + idleTimeoutUs <= nowUs || connection.isStale()) {
+                connection.close();
             } else {
-                call.pool.idle.remove(reader);
-                reader.write(call);
+                call.pool.idle.remove(connection);
+                connection.write(call);
                 return;
             }
         }
-        if (restUs <= REST_US) {
-            later(call, restUs, () -> dispatch(call));
+        if (restUs <= CONNECTION_REST_US) {
+            schedule(call, restUs, () -> dispatch(call));
         } else {
             connect(call);
         }
@@ -356,7 +356,7 @@
             closeLongestIdle();
         }
         if (connections >= mostConnections()) {
-            waitForRoom(call);
+            retryLater(call);
             return;
         }
         final ChannelFuture connecting = bootstrap.connect(call.pool.address);
@@ -364,7 +364,7 @@
             // No descriptor is available. This future is completed on another thread, and its channel was never
             // registered.
             closeLongestIdle();
-            waitForRoom(call);
+            retryLater(call);
             return;
         }
         connections++;
@@ -374,9 +374,9 @@
             if (!calls.contains(call)) {
                 connecting.channel().close();
             } else if (done.isSuccess()) {
-                final Reader reader = connecting.channel().pipeline().get(Reader.class);
-                reader.idleSinceUs = clock.nowUs();
-                reader.write(call);
+                final EndpointConnection connection = connecting.channel().pipeline().get(EndpointConnection.class);
+                connection.idleSinceUs = clock.nowUs();
+                connection.write(call);
             } else {
                 abandon(call, Result.NO_CONNECTION);
             }
@@ -387,9 +387,9 @@
      * Retries a call for which no descriptor is available, or that may not be written now, for at most the connect
      * time-out. Otherwise each of its messages would lose an attempt without being sent.
      */
-    private void waitForRoom(final Call call) {
-        if (clock.nowUs() + ROOM_US < call.sentUs + connectTimeoutUs) {
-            later(call, ROOM_US, () -> dispatch(call));
+    private void retryLater(final Call call) {
+        if (clock.nowUs() + RETRY_DELAY_US < call.sentUs + connectTimeoutUs) {
+            schedule(call, RETRY_DELAY_US, () -> dispatch(call));
         } else {
             loop.execute(() -> abandon(call, Result.NOT_SENT));
         }
@@ -402,63 +402,63 @@
     void abandon(final Call call, final Result result) {
         if (call.written && calls.contains(call)) {
             // The answer may have arrived unread: closing now would lose a delivery, or a wait that must be respected.
-            call.reader.readNow();
+            call.connection.readNow();
         }
-        final boolean known = remove(call);
-        if (!known && call.started) {
+        final boolean wasOpen = remove(call);
+        if (!wasOpen && call.started) {
             return;
         }
         if (call.channel != null) {
             call.channel.close();
         }
-        final long waitUs = call.reader == null ? 0 : call.reader.waitOf(call);
-        told(call, waitUs);
-        if (call.reader != null && call.reader.isDelivered(call)) {
-            tell(call, call.reader.delivered());
+        final long waitUs = call.connection == null ? 0 : call.connection.waitOf(call);
+        applyWait(call, waitUs);
+        if (call.connection != null && call.connection.isDelivered(call)) {
+            reportOutcome(call, call.connection.deliveredOutcome());
             return;
         }
-        final Result sure = call.written || result == Result.NOT_SENT ? result : neverWritten(result);
-        tell(call, new Answer(sure, false, waitUs, null));
+        final Result finalResult = call.written || result == Result.NOT_SENT ? result : unwrittenResult(result);
+        reportOutcome(call, new MessageOutcome(finalResult, false, waitUs, null));
     }
 
     /** Result of giving up a call that was never completely written: it cannot have been executed. */
-    private static Result neverWritten(final Result result) {
+    private static Result unwrittenResult(final Result result) {
         return result == Result.CANCELLED ? Result.NOT_SENT : Result.NO_CONNECTION;
     }
 
-    private void tell(final Call call, final Answer answer) {
-        call.parcels.forEach(parcel -> host.outcome(parcel, call, answer));
+    private void reportOutcome(final Call call, final MessageOutcome answer) {
+        call.items.forEach(item -> host.outcome(item, call, answer));
     }
 
     /** A predecessor process was asked to wait there: unwritten calls may not be sent. */
-    void holdBack(final long destination) {
-        abandonUnwritten(call -> !call.pool.apart && call.pool.destination == destination);
+    void giveBackUnwritten(final long destination) {
+        abandonUnwritten(call -> !call.pool.separateRoute && call.pool.destination == destination);
     }
 
     /** If a call's answer asked for a wait (above 0), unwritten calls that it applies to may not be sent. */
-    private void told(final Call call, final long waitUs) {
+    private void applyWait(final Call call, final long waitUs) {
         if (waitUs > 0) {
             host.waitTold(call.pool.destination, String.valueOf(call.pool.address), waitUs);
-            holdBack(call.pool);
+            giveBackUnwritten(call.pool);
         }
     }
 
-    private void holdBack(final Pool told) {
-        abandonUnwritten(call -> told.binds(call.pool));
+    private void giveBackUnwritten(final ConnectionPool waiting) {
+        abandonUnwritten(call -> waiting.sharesWaitsWith(call.pool));
     }
 
     /**
      * Reads what has arrived for calls in flight there. Decisions take time, in which an answer may have asked for a
      * wait that applies to a call about to be written.
      */
-    private void hear(final Pool pool) {
+    private void readAnswers(final ConnectionPool pool) {
         List.copyOf(calls).stream()
-                .filter(call -> call.written && calls.contains(call) && call.pool.binds(pool))
-                .forEach(call -> call.reader.readNow());
+                .filter(call -> call.written && calls.contains(call) && call.pool.sharesWaitsWith(pool))
+                .forEach(call -> call.connection.readNow());
     }
 
     /** True while calls are in flight. */
-    boolean isCalling() {
+    boolean hasCallsInFlight() {
         return !calls.isEmpty();
     }
 
@@ -468,31 +468,31 @@
     }
 
     /** Ends all unwritten calls. None of them was executed, so their messages may be sent again. */
-    void giveBackUnwritten() {
+    void giveBackAllUnwritten() {
         abandonUnwritten(call -> true);
     }
 
-    private void abandonUnwritten(final Predicate<Call> bound) {
+    private void abandonUnwritten(final Predicate<Call> condition) {
         List.copyOf(calls).stream()
-                .filter(call -> !call.written && bound.test(call))
+                .filter(call -> !call.written && condition.test(call))
                 .forEach(call -> abandon(call, Result.NOT_SENT));
     }
 
     // ---------------------------------------------------------------- one connection
 
     /** One connection: writes calls and reads their answers. */
-    private final class Reader extends SimpleChannelInboundHandler<HttpObject> implements AnswerDecoder.Listener {
+    private final class EndpointConnection extends SimpleChannelInboundHandler<HttpObject> implements ResponseDecoder.Listener {
         private ChannelHandlerContext context;
         private Call call;
         private long idleSinceUs;
         /** The status line of the answer as soon as it has arrived, and its complete head. */
-        private HttpResponse line;
+        private HttpResponse statusLine;
 
         private HttpResponse head;
-        private boolean keep;
+        private boolean keepAlive;
         private ByteArrayOutputStream body = new ByteArrayOutputStream();
         /** Time-out of an answer that has begun. */
-        private Future<?> wholeBy;
+        private Future<?> answerTimeout;
 
         @Override
         public void handlerAdded(final ChannelHandlerContext added) {
@@ -500,14 +500,14 @@
         }
 
         private void write(final Call next) {
-            hear(next.pool);
+            readAnswers(next.pool);
             // The event loop reads its sockets before it runs timers, so the timer that ends this call may be due as
             // well.
             final boolean late = next.deadlineUs <= clock.nowUs();
             if (late || !calls.contains(next) || !host.mayWrite(next)) {
                 if (!late && calls.contains(next) && next.isUntried()) {
                     next.pool.idle.addLast(this);
-                    waitForRoom(next);
+                    retryLater(next);
                     return;
                 }
                 // The connection was not used, so it is not kept.
@@ -517,8 +517,8 @@
             }
             call = next;
             call.channel = context.channel();
-            call.reader = this;
-            line = null;
+            call.connection = this;
+            statusLine = null;
             head = null;
             body = new ByteArrayOutputStream(0);
             context.writeAndFlush(request(call)).addListener(done -> {
@@ -529,11 +529,11 @@
         }
 
         private boolean isStale() {
-            return ((CallChannel) context.channel()).isStale();
+            return ((EndpointChannel) context.channel()).isStale();
         }
 
         private void readNow() {
-            ((CallChannel) context.channel()).readNow();
+            ((EndpointChannel) context.channel()).readNow();
         }
 
         private void close() {
@@ -551,55 +551,55 @@
         protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
             if (call == null || part.decoderResult().isFailure()) {
                 // Bytes that belong to no call or cannot be parsed: this connection cannot be trusted.
-                broken(Result.ERROR);
+                onBroken(Result.ERROR);
                 return;
             }
             if (part instanceof HttpResponse response) {
                 final int code = response.status().code();
-                if (code > MAX_STATUS || !RequestDecoder.isFramedPlainly(response)) {
-                    broken(Result.ERROR);
+                if (code > MAX_STATUS || !RequestDecoder.hasSingleFraming(response)) {
+                    onBroken(Result.ERROR);
                     return;
                 }
                 head = response;
-                keep = HttpUtil.isKeepAlive(response);
+                keepAlive = HttpUtil.isKeepAlive(response);
             }
             if (part instanceof HttpContent content) {
                 if (body.size() + content.content().readableBytes() > MAX_BODY_BYTES) {
-                    broken(Result.ERROR);
+                    onBroken(Result.ERROR);
                     return;
                 }
                 read(content.content());
             }
             if (part instanceof LastHttpContent && head != null) {
-                stopWaiting();
-                if (head.status().code() >= INFORMATIONAL) {
-                    finish();
+                cancelAnswerTimeout();
+                if (head.status().code() >= FIRST_FINAL_STATUS) {
+                    onAnswerComplete();
                 } else {
-                    line = null;
+                    statusLine = null;
                     head = null;
                 }
             }
         }
 
         @Override
-        public void begun() {
+        public void onAnswerBegun() {
             if (call == null || !call.written) {
                 // These bytes answer no call, or precede their call, so they belong to an earlier one.
-                broken(Result.RESET);
-            } else if (wholeBy == null) {
-                wholeBy = loop.schedule(() -> broken(Result.ERROR), ANSWER_MS, TimeUnit.MILLISECONDS);
+                onBroken(Result.RESET);
+            } else if (answerTimeout == null) {
+                answerTimeout = loop.schedule(() -> onBroken(Result.ERROR), ANSWER_COMPLETION_MS, TimeUnit.MILLISECONDS);
             }
         }
 
         @Override
-        public void firstLine(final HttpResponse answer) {
-            line = answer;
+        public void onStatusLine(final HttpResponse answer) {
+            statusLine = answer;
         }
 
-        private void stopWaiting() {
-            if (wholeBy != null) {
-                wholeBy.cancel(false);
-                wholeBy = null;
+        private void cancelAnswerTimeout() {
+            if (answerTimeout != null) {
+                answerTimeout.cancel(false);
+                answerTimeout = null;
             }
         }
 
@@ -608,11 +608,11 @@
          */
         private boolean isDelivered(final Call of) {
             return of == call
-                    && line != null
-                    && line.status().code() == OK
+                    && statusLine != null
+                    && statusLine.status().code() == OK
                     && of.written
-                    && !of.isBulk()
-                    && line.protocolVersion().majorVersion() == 1;
+                    && !of.hasSeveralMessages()
+                    && statusLine.protocolVersion().majorVersion() == 1;
         }
 
         /**
@@ -625,8 +625,8 @@
         /**
          * The outcome of a delivery whose answer was cut off. Waits and reports are used only if the head is complete.
          */
-        private Answer delivered() {
-            return head == null ? new Answer(Result.DELIVERED, true, 0, null) : answer(head, waitUs(head));
+        private MessageOutcome deliveredOutcome() {
+            return head == null ? new MessageOutcome(Result.DELIVERED, true, 0, null) : outcomeOf(head, waitUs(head));
         }
 
         private void read(final ByteBuf content) {
@@ -637,7 +637,7 @@
             }
         }
 
-        private void finish() {
+        private void onAnswerComplete() {
             final Call done = call;
             call = null;
             if (!remove(done)) {
@@ -645,19 +645,19 @@
                 return;
             }
             final boolean listed = done.pool.address.equals(context.channel().remoteAddress());
-            if (keep && done.written && listed && !done.pool.closing && !keepsNone) {
+            if (keepAlive && done.written && listed && !done.pool.closing && !closeAfterUse) {
                 idleSinceUs = clock.nowUs();
                 done.pool.idle.addLast(this);
             } else {
                 context.close();
             }
             final long waitUs = waitUs(head);
-            told(done, waitUs);
-            final Answer all = answer(head, waitUs);
-            if (done.isBulk() && head.status().code() == OK) {
-                tellEach(done, all);
+            applyWait(done, waitUs);
+            final MessageOutcome outcome = outcomeOf(head, waitUs);
+            if (done.hasSeveralMessages() && head.status().code() == OK) {
+                reportEachOutcome(done, outcome);
             } else {
-                tell(done, all);
+                reportOutcome(done, outcome);
             }
         }
 
@@ -666,22 +666,22 @@
          * still an answer: the destination is running and has done its work, so this counts as an error and not as a
          * reset.
          */
-        private void broken(final Result spoilt) {
-            stopWaiting();
+        private void onBroken(final Result result) {
+            cancelAnswerTimeout();
             unpool();
             context.close();
-            final Call cut = call;
-            final boolean delivered = cut != null && isDelivered(cut);
-            final long waitUs = cut == null ? 0 : waitOf(cut);
+            final Call interrupted = call;
+            final boolean delivered = interrupted != null && isDelivered(interrupted);
+            final long waitUs = interrupted == null ? 0 : waitOf(interrupted);
             call = null;
-            if (cut == null || !remove(cut)) {
+            if (interrupted == null || !remove(interrupted)) {
                 return;
             }
-            told(cut, waitUs);
+            applyWait(interrupted, waitUs);
             if (delivered) {
-                tell(cut, delivered());
+                reportOutcome(interrupted, deliveredOutcome());
             } else {
-                tell(cut, new Answer(cut.written ? spoilt : Result.NO_CONNECTION, false, waitUs, null));
+                reportOutcome(interrupted, new MessageOutcome(interrupted.written ? result : Result.NO_CONNECTION, false, waitUs, null));
             }
         }
 
@@ -690,42 +690,42 @@
          * The same holds for messages accepted after the deadline of one of them: the call should have been given up by
          * then and does not count as answered.
          */
-        private void tellEach(final Call done, final Answer all) {
+        private void reportEachOutcome(final Call done, final MessageOutcome whole) {
             final Map<String, String> states = new HashMap<>();
             try {
                 for (final JsonNode item : json.readTree(body.toByteArray())) {
                     states.merge(
                             item.path("id").asText(),
                             item.path("state").asText(),
-                            (one, other) -> one.equals(other) ? one : UNREADABLE);
+                            (outcome, other) -> outcome.equals(other) ? outcome : UNKNOWN_STATE);
                 }
             } catch (final IOException e) {
                 // The answer is damaged: each message may have been executed.
                 states.clear();
             }
             final long nowUs = clock.nowUs();
-            final boolean late = done.parcels.stream().anyMatch(parcel -> parcel.open().validUntilUs <= nowUs);
-            for (final Host.Parcel parcel : done.parcels) {
-                final Answer one =
-                        switch (states.getOrDefault(parcel.open().held.id, UNREADABLE)) {
+            final boolean late = done.items.stream().anyMatch(item -> item.open().validUntilUs <= nowUs);
+            for (final Host.Parcel item : done.items) {
+                final MessageOutcome outcome =
+                        switch (states.getOrDefault(item.open().held.id, UNKNOWN_STATE)) {
                             case "accepted" ->
-                                new Answer(
+                                new MessageOutcome(
                                         late ? Result.TIMED_OUT : Result.DELIVERED,
                                         !late,
-                                        all.waitUs(),
-                                        all.allowance());
-                            case "deferred" -> new Answer(Result.REFUSED, false, all.waitUs(), all.allowance());
-                            case "expired" -> new Answer(Result.NOT_SENT, true, all.waitUs(), all.allowance());
-                            case "no_more" -> new Answer(Result.NOT_SENT, false, all.waitUs(), all.allowance());
-                            default -> new Answer(Result.ERROR, false, all.waitUs(), all.allowance());
+                                        whole.waitUs(),
+                                        whole.reportedLimit());
+                            case "deferred" -> new MessageOutcome(Result.REFUSED, false, whole.waitUs(), whole.reportedLimit());
+                            case "expired" -> new MessageOutcome(Result.NOT_SENT, true, whole.waitUs(), whole.reportedLimit());
+                            case "no_more" -> new MessageOutcome(Result.NOT_SENT, false, whole.waitUs(), whole.reportedLimit());
+                            default -> new MessageOutcome(Result.ERROR, false, whole.waitUs(), whole.reportedLimit());
                         };
-                host.outcome(parcel, done, one);
+                host.outcome(item, done, outcome);
             }
         }
 
         @Override
         public void channelInactive(final ChannelHandlerContext ctx) {
-            broken(Result.RESET);
+            onBroken(Result.RESET);
         }
 
         @Override
@@ -733,7 +733,7 @@
             if (!(cause instanceof IOException)) {
                 Log.failure("connection to an endpoint", cause);
             }
-            broken(Result.RESET);
+            onBroken(Result.RESET);
         }
     }
 
@@ -741,19 +741,19 @@
 
     private FullHttpRequest request(final Call call) {
         final byte[] body =
-                call.isBulk() ? bulk(call) : call.parcels.get(0).open().held.body();
+                call.hasSeveralMessages() ? bulkBody(call) : call.items.get(0).open().held.body();
         final FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.POST,
-                call.isBulk() ? "/inbox/bulk" : "/inbox",
+                call.hasSeveralMessages() ? "/inbox/bulk" : "/inbox",
                 Unpooled.wrappedBuffer(body));
         request.headers().set(HttpHeaderNames.HOST, call.pool.address.getHostString());
         request.headers().set("X-Timeout-Ms", Math.max(1, (call.deadlineUs - clock.nowUs()) / US_PER_MS));
         request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        if (call.isBulk()) {
+        if (call.hasSeveralMessages()) {
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
         } else {
-            final Held held = call.parcels.get(0).open().held;
+            final Held held = call.items.get(0).open().held;
             request.headers().set("X-Request-ID", held.id);
             if (held.idempotencyKey != null) {
                 request.headers().set("Idempotency-Key", held.idempotencyKey);
@@ -762,15 +762,15 @@
         return request;
     }
 
-    private byte[] bulk(final Call call) {
+    private byte[] bulkBody(final Call call) {
         final ArrayNode items = json.createArrayNode();
-        for (final Host.Parcel parcel : call.parcels) {
-            final Held held = parcel.open().held;
-            final ObjectNode item = items.addObject().put("id", held.id);
+        for (final Host.Parcel item : call.items) {
+            final Held held = item.open().held;
+            final ObjectNode entry = items.addObject().put("id", held.id);
             if (held.idempotencyKey != null) {
-                item.put("key", held.idempotencyKey);
+                entry.put("key", held.idempotencyKey);
             }
-            item.put("body", held.body());
+            entry.put("body", held.body());
         }
         try {
             return json.writeValueAsString(items).getBytes(StandardCharsets.UTF_8);
@@ -779,48 +779,48 @@
         }
     }
 
-    private static Answer answer(final HttpResponse head, final long waitUs) {
-        final Courier.ReportedLimit allowance = allowance(head.headers().get("X-Server-Load"));
+    private static MessageOutcome outcomeOf(final HttpResponse head, final long waitUs) {
+        final Courier.ReportedLimit reportedLimit = parseReportedLimit(head.headers().get("X-Server-Load"));
         final boolean lineBusy = "1".equals(head.headers().get("X-Line-Busy"));
         return switch (head.status().code()) {
-            case OK -> new Answer(Result.DELIVERED, true, waitUs, allowance);
-            case BUSY -> new Answer(Result.REFUSED, false, waitUs, allowance);
-            case UNAVAILABLE -> new Answer(lineBusy ? Result.NOT_SENT : Result.REFUSED, false, waitUs, allowance);
-            case NO_MORE -> new Answer(Result.NOT_SENT, false, waitUs, allowance);
-            case GONE -> new Answer(Result.NOT_SENT, true, waitUs, allowance);
-            default -> new Answer(Result.ERROR, false, waitUs, allowance);
+            case OK -> new MessageOutcome(Result.DELIVERED, true, waitUs, reportedLimit);
+            case TOO_MANY_REQUESTS -> new MessageOutcome(Result.REFUSED, false, waitUs, reportedLimit);
+            case UNAVAILABLE -> new MessageOutcome(lineBusy ? Result.NOT_SENT : Result.REFUSED, false, waitUs, reportedLimit);
+            case GATEWAY_TIMEOUT -> new MessageOutcome(Result.NOT_SENT, false, waitUs, reportedLimit);
+            case GONE -> new MessageOutcome(Result.NOT_SENT, true, waitUs, reportedLimit);
+            default -> new MessageOutcome(Result.ERROR, false, waitUs, reportedLimit);
         };
     }
 
     /** The wait that an answer asks for, in seconds with decimals, as us; 0 if there is none or it cannot be parsed. */
     private static long waitUs(final HttpResponse head) {
-        final double seconds = number(head.headers().get(HttpHeaderNames.RETRY_AFTER));
+        final double seconds = parseNumber(head.headers().get(HttpHeaderNames.RETRY_AFTER));
         return seconds >= 0 ? (long) Math.ceil(Math.min(seconds, MAX_WAIT_S) * US_PER_SECOND) : 0;
     }
 
     /** The limit that a destination reported; null if it reported none, or none that can be parsed. */
-    private static Courier.ReportedLimit allowance(final String report) {
+    private static Courier.ReportedLimit parseReportedLimit(final String report) {
         if (report == null) {
             return null;
         }
-        double shareLeft = -1;
+        double unusedShare = -1;
         double callsPerSecond = -1;
         for (final String field : report.split(",")) {
             final String value = field.substring(field.indexOf('=') + 1);
             if (field.trim().startsWith("x0=")) {
-                shareLeft = number(value);
+                unusedShare = parseNumber(value);
             } else if (field.trim().startsWith("x1=")) {
-                callsPerSecond = number(value);
+                callsPerSecond = parseNumber(value);
             }
         }
         // A share slightly above one is noise; far above it is invalid.
-        final boolean whole =
-                shareLeft >= 0 && shareLeft <= MAX_SHARE && callsPerSecond >= 0 && callsPerSecond <= MAX_RATE;
-        return whole ? new Courier.ReportedLimit(Math.min(1, shareLeft), callsPerSecond) : null;
+        final boolean valid =
+                unusedShare >= 0 && unusedShare <= MAX_SHARE && callsPerSecond >= 0 && callsPerSecond <= MAX_RATE;
+        return valid ? new Courier.ReportedLimit(Math.min(1, unusedShare), callsPerSecond) : null;
     }
 
     /** A number in an answer, or -1 if there is none. */
-    private static double number(final String text) {
+    private static double parseNumber(final String text) {
         return text != null && NUMBER.matcher(text.trim()).matches() ? Double.parseDouble(text.trim()) : -1;
     }
 }
--- a/src/main/java/driftchute/node/Host.java
+++ b/src/main/java/driftchute/node/Host.java
@@ -82,7 +82,7 @@
         private Reply reply;
 
         private boolean over;
-        private Endpoints.Call call;
+        private EndpointClient.Call call;
 
         Open(final Held held, final Courier.MessageClass kind, final long validUntilUs, final Reply reply) {
             this.held = held;
@@ -100,12 +100,12 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Journal journal;
-    private final Orders orders;
+    private final OperatorOrders orders;
     private final DeliveryPolicy control;
-    private final Endpoints endpoints;
+    private final EndpointClient endpoints;
     private final Discovery discovery;
-    private final KnownList knownList;
-    private final Notices notices;
+    private final StoredList knownList;
+    private final NoticeSender notices;
     private final Map<String, Open> messages = new LinkedHashMap<>();
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<Long, List<Parcel>> outbox = new LinkedHashMap<>();
@@ -141,22 +141,22 @@
 
     private long readWallUs;
     /** The orders that were last reported to the decisions. */
-    private Orders.Standing heeded;
+    private OperatorOrders.State heeded;
     /** Longest decision pass since the last status line. Nothing else runs on the event loop during a pass. */
     private long longestPassUs;
 
-    Host(final Config config, final EventLoop loop, final Clock clock, final Journal journal, final Orders orders) {
+    Host(final Config config, final EventLoop loop, final Clock clock, final Journal journal, final OperatorOrders orders) {
         this.config = config;
         this.loop = loop;
         this.clock = clock;
         this.journal = journal;
         this.orders = orders;
         this.control = new DeliveryPolicy(config.settings(), config.seed(), this);
-        this.endpoints = new Endpoints(config, loop, clock, this);
+        this.endpoints = new EndpointClient(config, loop, clock, this);
         this.discovery = new Discovery(config, loop, clock, this);
         this.discoveryAt = config.discovery();
-        this.knownList = new KnownList(config.state(), config.diskBytes());
-        this.notices = new Notices(config.discovery(), loop, this);
+        this.knownList = new StoredList(config.state(), config.diskBytes());
+        this.notices = new NoticeSender(config.discovery(), loop, this);
         config.settings().classes().forEach(kind -> classes.put(kind.name(), classes.size()));
     }
 
@@ -174,7 +174,7 @@
      */
     void takeUp() throws IOException {
         catchUp();
-        knownList.keep();
+        knownList.startStoring();
         journal.open();
         final Journal.News news = journal.poll();
         news.over().forEach(journal::over);
@@ -203,7 +203,7 @@
             final boolean goesBy = confirmed;
             discovery.restore(list);
             if (goesBy) {
-                discovery.unchanged();
+                discovery.onUnchanged();
             }
         }
     }
@@ -314,7 +314,7 @@
             if (before == null || before < memory.waitUntilUs() - HEARD_FRESH_US) {
                 Log.event("wait_taken_over", "dest", destination, "left_ms", leftUs / US_PER_MS);
             }
-            endpoints.holdBack(destination);
+            endpoints.giveBackUnwritten(destination);
         }
     }
 
@@ -342,21 +342,21 @@
      * in which a wait may have been requested or a key's window may have ended. A process that dies before this has
      * made no attempt.
      */
-    boolean mayWrite(final Endpoints.Call call) {
+    boolean mayWrite(final EndpointClient.Call call) {
         // An order applies as soon as it is in its file; the next pass may come later than this connection did.
         heed();
-        if (call.parcels().isEmpty() || !mayWrite(call.parcels().get(0).open().held.destination)) {
+        if (call.items().isEmpty() || !mayWrite(call.items().get(0).open().held.destination)) {
             return false;
         }
         // Checking may just have ended the call.
-        return call.parcels().stream().allMatch(parcel -> parcel.open().call == call && !isForgotten(parcel))
+        return call.items().stream().allMatch(parcel -> parcel.open().call == call && !isForgotten(parcel))
                 && isRecorded(call);
     }
 
     /** An attempt that is not in the journal would be forgotten after a restart. */
-    private boolean isRecorded(final Endpoints.Call call) {
+    private boolean isRecorded(final EndpointClient.Call call) {
         boolean recorded = true;
-        for (final Parcel parcel : call.parcels()) {
+        for (final Parcel parcel : call.items()) {
             recorded &= journal.begin(parcel.open().held, clock.wallUs(), discovery.zone(call.endpoint()));
         }
         return recorded;
@@ -455,7 +455,7 @@
     void offer(final Held held, final long validUntilUs, final Reply reply) {
         final int open = leaving ? journal.count() : messages.size() + untold.size();
         if (open >= config.settings().limits().maxOpenMessages() || !journal.take(held)) {
-            reply.refused(Intake.UNAVAILABLE, FULL_RETRY_US);
+            reply.refused(ClientServer.UNAVAILABLE, FULL_RETRY_US);
             return;
         }
         if (leaving) {
@@ -489,7 +489,7 @@
 
     /** A valid list arrived from that address. It is stored for the next process. */
     void told(final JsonNode list, final Courier.Update update, final InetSocketAddress from) {
-        knownList.told(list, update, from);
+        knownList.update(list, update, from);
     }
 
     /** The list changed, or could not be fetched. */
@@ -513,16 +513,16 @@
         return discovery.hasListed(endpoint);
     }
 
-    Endpoints endpoints() {
+    EndpointClient endpoints() {
         return endpoints;
     }
 
     /** The outcome of one message's part in a call. */
-    void outcome(final Parcel parcel, final Endpoints.Call call, final Endpoints.Answer answer) {
+    void outcome(final Parcel parcel, final EndpointClient.Call call, final EndpointClient.MessageOutcome answer) {
         final Open open = parcel.open();
         open.call = null;
         final boolean delivered = answer.result() == Courier.Result.DELIVERED;
-        final boolean ends = !open.over && (delivered || answer.over());
+        final boolean ends = !open.over && (delivered || answer.isFinal());
         final boolean goesOn = !open.over && !ends;
         control.onOutcome(
                 clock.nowUs(),
@@ -533,7 +533,7 @@
                         call.endpoint(),
                         clock.nowUs() - call.sentUs(),
                         answer.waitUs(),
-                        answer.allowance()));
+                        answer.reportedLimit()));
         if (leaving) {
             // Records first what the outcome reported: once it is recorded, the next process may send the message.
             leave(open);
@@ -589,12 +589,12 @@
 
     /** Reports the disabled endpoints to the decisions whenever the orders or the list have changed. */
     private void heed() {
-        final Orders.Standing standing = orders.standing();
+        final OperatorOrders.State standing = orders.current();
         if (standing != heeded) {
             heeded = standing;
-            final Set<Long> barred = discovery.idsOf(standing.out());
+            final Set<Long> barred = discovery.idsOf(standing.disabledEndpoints());
             control.onEndpointsDisabled(clock.nowUs(), barred);
-            barred.forEach(endpoints::bar);
+            barred.forEach(endpoints::stopUsing);
             touch();
         }
     }
@@ -616,7 +616,7 @@
         final int most = Math.max(1, discovery.messagesPerCall(endpoint));
         for (int from = 0; from < parcels.size(); from += most) {
             final List<Parcel> some = parcels.subList(from, Math.min(parcels.size(), from + most));
-            final Endpoints.Call call = endpoints.prepare(endpoint, some);
+            final EndpointClient.Call call = endpoints.prepare(endpoint, some);
             some.forEach(parcel -> parcel.open().call = call);
             endpoints.start(call);
         }
@@ -643,7 +643,7 @@
         } else {
             final Reply reply = open.reply;
             forget(open);
-            reply.refused(Intake.TOO_MANY, retryAfterUs);
+            reply.refused(ClientServer.TOO_MANY_REQUESTS, retryAfterUs);
         }
     }
 
@@ -681,7 +681,7 @@
     public void cancel(final String messageId, final int attempt) {
         final Open open = messages.get(messageId);
         if (open != null && open.call != null) {
-            final Endpoints.Call call = open.call;
+            final EndpointClient.Call call = open.call;
             loop.execute(() -> endpoints.abandon(call, Courier.Result.CANCELLED));
         }
     }
@@ -710,8 +710,8 @@
         Log.info("SIGHUP: discovery is at " + fresh.discovery()
                 + (same ? "" : "; other changes of the configuration apply from the next start"));
         discoveryAt = fresh.discovery();
-        discovery.move(fresh.discovery());
-        notices.move(fresh.discovery());
+        discovery.switchTo(fresh.discovery());
+        notices.switchTo(fresh.discovery());
     }
 
     // ---------------------------------------------------------------- end of the process
@@ -729,11 +729,11 @@
      */
     void leave() {
         leaving = true;
-        knownList.leave();
+        knownList.stopStoring();
         part(false);
         pass();
         // Written later, such a call could violate a wait that only the successor knows.
-        endpoints.giveBackUnwritten();
+        endpoints.giveBackAllUnwritten();
         messages.values().removeIf(open -> open.call == null);
         untold.values().forEach(held -> settle(held, false));
         untold.clear();
@@ -749,7 +749,7 @@
      * ran, and not yet in this turn.
      */
     private void heard() {
-        if (endpoints.isCalling()) {
+        if (endpoints.hasCallsInFlight()) {
             journal.heard(readWallUs);
             readWallUs = clock.wallUs();
             loop.schedule(this::heard, HEARD_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/driftchute/node/JsonValues.java
+++ b/src/main/java/driftchute/node/JsonStreamParser.java
@@ -13,7 +13,7 @@
  * Parses a byte stream into complete JSON objects, independent of line ends and read boundaries. Each object is passed
  * on with its last byte.
  */
-final class JsonValues {
+final class JsonStreamParser {
     /**
      * Maximum size of a value, with the white space before it, counted in whole reads since the one that completed the
      * previous value.
@@ -26,17 +26,17 @@
     private final ByteArrayFeeder feeder;
     private final Consumer<JsonNode> values;
     /** Tokens of an incomplete value; null between values. */
-    private TokenBuffer begun;
+    private TokenBuffer incomplete;
 
     private int depth;
     private int pendingBytes;
     /** Nothing but white space has arrived. */
     private boolean blank = true;
 
-    private boolean emptyLine;
+    private boolean hasEmptyLine;
 
     /** Passes each value to {@code values}, whose exceptions end the parsing. */
-    JsonValues(final Consumer<JsonNode> values) {
+    JsonStreamParser(final Consumer<JsonNode> values) {
         this.values = values;
         try {
             this.parser = JSON.getFactory().createNonBlockingByteArrayParser();
@@ -53,8 +53,8 @@
      * can be
      *         parsed after that
      */
-    void read(final byte[] bytes) {
-        look(bytes);
+    void parse(final byte[] bytes) {
+        trackBlankInput(bytes);
         pendingBytes += bytes.length;
         if (pendingBytes > MAX_BYTES) {
             throw new IllegalArgumentException("the list exceeds " + MAX_BYTES + " bytes");
@@ -70,34 +70,34 @@
     }
 
     /** True if no value is incomplete. */
-    boolean isBetween() {
-        return begun == null;
+    boolean isBetweenValues() {
+        return incomplete == null;
     }
 
     /** True if at least one empty line and nothing but white space has arrived. */
-    boolean isEmptyLines() {
-        return blank && emptyLine;
+    boolean hasOnlyEmptyLines() {
+        return blank && hasEmptyLine;
     }
 
-    private void look(final byte[] bytes) {
+    private void trackBlankInput(final byte[] bytes) {
         for (int at = 0; blank && at < bytes.length; at++) {
-            emptyLine |= bytes[at] == '\n';
+            hasEmptyLine |= bytes[at] == '\n';
             blank = Character.isWhitespace(bytes[at]);
         }
     }
 
     private void add(final JsonToken token) throws IOException {
-        if (begun == null) {
+        if (incomplete == null) {
             if (token != JsonToken.START_OBJECT) {
                 throw new IllegalArgumentException("a list must be a JSON object, but begins with " + token);
             }
-            begun = new TokenBuffer(parser);
+            incomplete = new TokenBuffer(parser);
         }
-        begun.copyCurrentEvent(parser);
+        incomplete.copyCurrentEvent(parser);
         depth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
         if (depth == 0) {
-            final JsonNode value = JSON.readTree(begun.asParser());
-            begun = null;
+            final JsonNode value = JSON.readTree(incomplete.asParser());
+            incomplete = null;
             pendingBytes = 0;
             values.accept(value);
         }
--- a/src/main/java/driftchute/node/LingeringClose.java
+++ b/src/main/java/driftchute/node/LingeringClose.java
@@ -23,7 +23,7 @@
     private static final int MAX_DRAINED_BYTES = 1 << 18;
 
     private final ChannelFuture lastWritten;
-    private int drainedBytes;
+    private int discardedBytes;
 
     private LingeringClose(final ChannelFuture lastWritten) {
         this.lastWritten = lastWritten;
@@ -47,10 +47,10 @@
     @Override
     public void channelRead(final ChannelHandlerContext context, final Object part) {
         if (part instanceof ByteBuf bytes) {
-            drainedBytes += bytes.readableBytes();
+            discardedBytes += bytes.readableBytes();
         }
         ReferenceCountUtil.release(part);
-        if (drainedBytes > MAX_DRAINED_BYTES) {
+        if (discardedBytes > MAX_DRAINED_BYTES) {
             context.channel().config().setAutoRead(false);
         }
     }
--- a/src/main/java/driftchute/node/Watches.java
+++ b/src/main/java/driftchute/node/ListWatcher.java
@@ -30,28 +30,28 @@
  * none, sent before the previous connection is closed (PROTOCOL-irishead.md, Discovery; the bounds and their
  * derivation: docs/list-clock.md). At most two connections are open. Runs on the event loop's thread.
  */
-final class Watches {
+final class ListWatcher {
     /** Time without a complete message after which a watch counts as silent. An empty line is due every 2 s. */
-    static final long QUIET_US = 3_000_000;
+    static final long SILENCE_TIMEOUT_US = 3_000_000;
     /**
      * Time after its first answer at which a watch is replaced, whatever it reports, because a watch that misses
      * changes does not say so.
      */
-    static final long RELIEF_US = 2_450_000;
+    static final long REPLACE_AFTER_US = 2_450_000;
     /** Interval between two unanswered requests. */
-    static final long PACE_US = 1_250_000;
+    static final long REQUEST_INTERVAL_US = 1_250_000;
     /**
      * Time for which a request is pending, except for the second request of a replacement. Its answer may be an empty
      * line 2 s later.
      */
-    static final long ANSWER_US = 2 * PACE_US;
+    static final long ANSWER_TIMEOUT_US = 2 * REQUEST_INTERVAL_US;
     /**
      * Interval after the second request of a replacement that gets no answer either, and between failures beside an
      * active watch. What the active watch omits counts as notified 6 s later, even if two requests fail.
      */
-    private static final long HASTE_US = 650_000;
+    private static final long SHORT_INTERVAL_US = 650_000;
     /** A value that takes longer than this to arrive no longer protects its connection from being replaced. */
-    private static final long LONGEST_VALUE_US = 2 * ANSWER_US;
+    private static final long MAX_VALUE_TRANSFER_US = 2 * ANSWER_TIMEOUT_US;
     /**
      * Bounds of the delay before the next request after a failed connection: well within the grace period of a drain,
      * without a busy loop.
@@ -60,7 +60,7 @@
 
     private static final long MAX_REST_US = 100_000;
     /** No version of the list is known that the current server would understand. */
-    private static final long NONE = -1;
+    private static final long UNKNOWN_VERSION = -1;
 
     private static final int OK = 200;
 
@@ -71,13 +71,13 @@
          *
          * @throws IllegalArgumentException if it is invalid; nothing of it may have been applied then
          */
-        void told(JsonNode list, InetSocketAddress from);
+        void onList(JsonNode list, InetSocketAddress from);
 
         /** Nothing has changed since the requested version. */
-        void unchanged();
+        void onUnchanged();
 
         /** No watch is active; the next request is under way. Reported once for each loss. */
-        void lost();
+        void onLost();
     }
 
     private final EventLoop loop;
@@ -94,21 +94,21 @@
     /** The latest watch and its predecessor, which is used until the latest one answers. Each may be null. */
     private Watch newest;
 
-    private Watch older;
-    private Future<?> due;
+    private Watch previous;
+    private Future<?> timer;
     /** No request is sent before this time. */
-    private long restUntilUs;
+    private long retryAfterUs;
     /**
      * When the first request since the last answer was sent, the watch that was active then (if any), and the number of
      * requests since.
      */
-    private long askingSinceUs;
+    private long firstRequestUs;
 
-    private Watch relieved;
-    private int asked;
+    private Watch replaced;
+    private int requestCount;
     private boolean lost;
 
-    Watches(
+    ListWatcher(
             final InetSocketAddress address,
             final EventLoop loop,
             final LongSupplier clock,
@@ -122,7 +122,7 @@
     }
 
     /** Sets the version after which changes are requested. */
-    void knows(final long known) {
+    void setVersion(final long known) {
         version = known;
     }
 
@@ -137,114 +137,114 @@
     }
 
     /** Starts sending requests. */
-    void follow() {
-        if (due == null) {
-            ask();
+    void start() {
+        if (timer == null) {
+            sendRequest();
         }
     }
 
     /** Switches to another list service. A watch that has answered is used until the new service answers. */
-    void move(final InetSocketAddress next) {
+    void switchTo(final InetSocketAddress next) {
         if (next.equals(address)) {
             return;
         }
         address = next;
-        version = NONE;
+        version = UNKNOWN_VERSION;
         while (newest != null && !newest.answered) {
             newest.close();
-            newest = older;
-            older = null;
+            newest = previous;
+            previous = null;
         }
         if (newest != null) {
             newest.moved = true;
         }
-        restUntilUs = 0;
-        ask();
+        retryAfterUs = 0;
+        sendRequest();
     }
 
     /** Sends another request. Of two open connections the one that has been silent longest is closed. */
-    private void ask() {
+    private void sendRequest() {
         if (newest == null || newest.answered) {
-            askingSinceUs = clock.getAsLong();
-            relieved = newest;
-            asked = 0;
+            firstRequestUs = clock.getAsLong();
+            replaced = newest;
+            requestCount = 0;
         }
-        asked++;
-        if (older != null && older.saidUs() < newest.saidUs()) {
-            older.close();
-        } else if (older != null) {
+        requestCount++;
+        if (previous != null && previous.lastActivityUs() < newest.lastActivityUs()) {
+            previous.close();
+        } else if (previous != null) {
             newest.close();
-            newest = older;
+            newest = previous;
         }
         if (newest != null) {
-            newest.doubted = true;
+            newest.superseded = true;
         }
-        older = newest;
+        previous = newest;
         newest = new Watch(address);
         newest.connect();
-        plan();
+        scheduleCheck();
     }
 
     /** When the next request is due if nothing more is received. */
     private long dueUs() {
-        if (newest == null || newest.answered && newest.doubted) {
-            return restUntilUs;
+        if (newest == null || newest.answered && newest.superseded) {
+            return retryAfterUs;
         }
         if (newest.answered) {
-            return Math.max(restUntilUs, newest.answeredUs + RELIEF_US);
+            return Math.max(retryAfterUs, newest.answeredUs + REPLACE_AFTER_US);
         }
-        if (asked == 2 && speaks(relieved)) {
-            return Math.max(restUntilUs, newest.askedUs + HASTE_US);
+        if (requestCount == 2 && isActive(replaced)) {
+            return Math.max(retryAfterUs, newest.requestedUs + SHORT_INTERVAL_US);
         }
         // While the previous watch is active, the first request may take longer.
-        final long patientUs = !speaks(older) ? 0 : Math.min(newest.askedUs + ANSWER_US, older.heardUs + QUIET_US);
-        return Math.max(restUntilUs, Math.max(newest.askedUs + PACE_US, patientUs));
+        final long extendedUs = !isActive(previous) ? 0 : Math.min(newest.requestedUs + ANSWER_TIMEOUT_US, previous.heardUs + SILENCE_TIMEOUT_US);
+        return Math.max(retryAfterUs, Math.max(newest.requestedUs + REQUEST_INTERVAL_US, extendedUs));
     }
 
-    private void plan() {
-        if (due != null) {
-            due.cancel(false);
+    private void scheduleCheck() {
+        if (timer != null) {
+            timer.cancel(false);
         }
-        due = loop.schedule(this::look, Math.max(0, dueUs() - clock.getAsLong()), TimeUnit.MICROSECONDS);
+        timer = loop.schedule(this::check, Math.max(0, dueUs() - clock.getAsLong()), TimeUnit.MICROSECONDS);
     }
 
-    private void look() {
+    private void check() {
         final long nowUs = clock.getAsLong();
         final boolean answered = newest != null && newest.answered;
-        if (!answered && nowUs >= askingSinceUs + ANSWER_US && !speaks(older)) {
-            lose(false);
+        if (!answered && nowUs >= firstRequestUs + ANSWER_TIMEOUT_US && !isActive(previous)) {
+            reportLoss(false);
         }
         if (nowUs >= dueUs()) {
-            ask();
+            sendRequest();
         } else {
-            plan();
+            scheduleCheck();
         }
     }
 
     /** True if the watch was heard recently. A watch of a previous address is never active. */
-    private boolean speaks(final Watch watch) {
-        return watch != null && !watch.moved && clock.getAsLong() < watch.heardUs + QUIET_US;
+    private boolean isActive(final Watch watch) {
+        return watch != null && !watch.moved && clock.getAsLong() < watch.heardUs + SILENCE_TIMEOUT_US;
     }
 
-    private void lose(final boolean answered) {
+    private void reportLoss(final boolean answered) {
         if (!lost) {
             lost = true;
             Log.event("list_lost", "seq", version, "from", String.valueOf(address), "answered", answered);
-            listener.lost();
+            listener.onLost();
         }
     }
 
     /** One watch, until its connection ends. Fetches the whole list first if no version is known. */
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
-        private final InetSocketAddress at;
-        private final long askedUs = clock.getAsLong();
+        private final InetSocketAddress server;
+        private final long requestedUs = clock.getAsLong();
         private Channel channel;
-        private JsonValues values;
-        private boolean asksWhole;
+        private JsonStreamParser parser;
+        private boolean requestsWholeList;
         /** A list or an empty line has arrived. */
         private boolean answered;
         /** A newer request was sent, whose answer is awaited whatever this watch reports. */
-        private boolean doubted;
+        private boolean superseded;
         /** The list service has moved to another address since. */
         private boolean moved;
 
@@ -254,12 +254,12 @@
         /**
          * When a byte last arrived. A list that is still arriving does not count as heard, but its connection is alive.
          */
-        private long byteUs;
+        private long lastByteUs;
         /** The version that it requested or last reported. */
         private long after;
 
         private Watch(final InetSocketAddress at) {
-            this.at = at;
+            this.server = at;
         }
 
         private void connect() {
@@ -272,10 +272,10 @@
                             fresh.pipeline().addLast(new HttpClientCodec(), Watch.this);
                         }
                     })
-                    .connect(at)
+                    .connect(server)
                     .addListener(done -> {
                         if (!done.isSuccess()) {
-                            loop.execute(this::ended);
+                            loop.execute(this::onEnded);
                         }
                     })
                     .channel();
@@ -287,35 +287,35 @@
             }
         }
 
-        private boolean stands() {
-            return this == newest || this == older;
+        private boolean isCurrent() {
+            return this == newest || this == previous;
         }
 
-        private long saidUs() {
-            final long wordUs = Math.max(askedUs, heardUs);
-            return Math.max(wordUs, Math.min(byteUs, wordUs + LONGEST_VALUE_US));
+        private long lastActivityUs() {
+            final long messageUs = Math.max(requestedUs, heardUs);
+            return Math.max(messageUs, Math.min(lastByteUs, messageUs + MAX_VALUE_TRANSFER_US));
         }
 
         @Override
         public void channelActive(final ChannelHandlerContext ctx) {
-            question();
+            writeRequest();
         }
 
-        private void question() {
+        private void writeRequest() {
             after = version;
-            asksWhole = after == NONE;
-            values = new JsonValues(this::take);
+            requestsWholeList = after == UNKNOWN_VERSION;
+            parser = new JsonStreamParser(this::onValue);
             final var request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     HttpMethod.GET,
-                    asksWhole ? "/discovery/hosts" : "/discovery/hosts?watch=1&after=" + after);
-            request.headers().set(HttpHeaderNames.HOST, at.getHostString());
+                    requestsWholeList ? "/discovery/hosts" : "/discovery/hosts?watch=1&after=" + after);
+            request.headers().set(HttpHeaderNames.HOST, server.getHostString());
             channel.writeAndFlush(request);
         }
 
         @Override
         protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
-            if (!stands()
+            if (!isCurrent()
                     || part.decoderResult().isFailure()
                     || part instanceof HttpResponse response
                             && response.status().code() != OK) {
@@ -327,28 +327,28 @@
                 content.content().readBytes(bytes);
                 read(bytes);
             }
-            if (part instanceof LastHttpContent && asksWhole && answered) {
-                question();
+            if (part instanceof LastHttpContent && requestsWholeList && answered) {
+                writeRequest();
             } else if (part instanceof LastHttpContent) {
                 ctx.close();
             }
         }
 
         private void read(final byte[] bytes) {
-            byteUs = clock.getAsLong();
-            values.read(bytes);
-            if (asksWhole || !stands()) {
+            lastByteUs = clock.getAsLong();
+            parser.parse(bytes);
+            if (requestsWholeList || !isCurrent()) {
                 return;
             }
-            if (values.isBetween() && hasLineEnd(bytes)) {
-                heardUs = byteUs;
+            if (parser.isBetweenValues() && hasLineEnd(bytes)) {
+                heardUs = lastByteUs;
             }
-            if (!answered && values.isEmptyLines()) {
+            if (!answered && parser.hasOnlyEmptyLines()) {
                 // Nothing has changed since the requested version. This confirms a list that may have been outdated.
-                answered();
-                listener.unchanged();
+                onAnswered();
+                listener.onUnchanged();
             }
-            if (this == newest && values.isBetween() && heardUs == byteUs) {
+            if (this == newest && parser.isBetweenValues() && heardUs == lastByteUs) {
                 freshUs = heardUs;
             }
         }
@@ -362,20 +362,20 @@
             return false;
         }
 
-        private void take(final JsonNode list) {
-            if (!stands()) {
+        private void onValue(final JsonNode list) {
+            if (!isCurrent()) {
                 return;
             }
-            final long seq = list.path("seq").asLong(NONE);
+            final long seq = list.path("seq").asLong(UNKNOWN_VERSION);
             if (seq < 0) {
                 throw new IllegalArgumentException("a list without a version");
             }
             if (seq < after && !list.path("whole").asBoolean()) {
                 // The version numbers started again, so changes since a version of another numbering apply to no known
                 // list.
-                version = NONE;
+                version = UNKNOWN_VERSION;
                 closeOther();
-                ended();
+                onEnded();
                 channel.close();
                 return;
             }
@@ -383,61 +383,61 @@
             final boolean late = !moved && seq >= after && seq < version;
             after = seq;
             if (!late) {
-                listener.told(list, at);
+                listener.onList(list, server);
                 version = moved ? version : seq;
             }
-            heardUs = byteUs;
-            answered();
+            heardUs = lastByteUs;
+            onAnswered();
         }
 
         /**
          * Handles the first answer to a request, which ends the other watch. A silent watch that is heard again ends
          * none.
          */
-        private void answered() {
+        private void onAnswered() {
             if (!answered) {
                 answered = true;
                 answeredUs = clock.getAsLong();
-                relieved = null;
+                replaced = null;
                 closeOther();
                 if (lost) {
                     lost = false;
-                    Log.event("list_heard", "seq", version, "from", String.valueOf(at));
+                    Log.event("list_heard", "seq", version, "from", String.valueOf(server));
                 }
             }
         }
 
         private void closeOther() {
-            final Watch other = this == newest ? older : newest;
+            final Watch other = this == newest ? previous : newest;
             newest = this;
-            older = null;
+            previous = null;
             if (other != null) {
                 other.close();
             }
         }
 
         /** Handles the end of the connection, or a failure to connect. */
-        private void ended() {
-            if (!stands()) {
+        private void onEnded() {
+            if (!isCurrent()) {
                 return;
             }
             if (this == newest) {
-                newest = older;
-                final boolean hurry = byteUs == 0 && !speaks(older);
-                restUntilUs = Math.max(
+                newest = previous;
+                final boolean retrySoon = lastByteUs == 0 && !isActive(previous);
+                retryAfterUs = Math.max(
                         clock.getAsLong() + random.nextLong(MIN_REST_US, MAX_REST_US),
-                        hurry ? 0 : askedUs + (speaks(relieved) ? HASTE_US : PACE_US));
+                        retrySoon ? 0 : requestedUs + (isActive(replaced) ? SHORT_INTERVAL_US : REQUEST_INTERVAL_US));
             }
-            older = null;
-            if (!speaks(newest)) {
-                lose(answered);
+            previous = null;
+            if (!isActive(newest)) {
+                reportLoss(answered);
             }
-            plan();
+            scheduleCheck();
         }
 
         @Override
         public void channelInactive(final ChannelHandlerContext ctx) {
-            ended();
+            onEnded();
         }
 
         @Override
@@ -447,7 +447,7 @@
             if (cause instanceof Error || !network && !lost) {
                 Log.failure("watch of the list", cause);
             }
-            ended();
+            onEnded();
             ctx.close();
         }
     }
--- a/src/main/java/driftchute/node/Main.java
+++ b/src/main/java/driftchute/node/Main.java
@@ -49,7 +49,7 @@
 
     private Handover handover;
     private Host host;
-    private Intake intake;
+    private ClientServer intake;
 
     private Main(final Map<String, String> environment) {
         this.environment = environment;
@@ -77,10 +77,10 @@
         Log.named(config.name());
         handover = new Handover(config.state());
         Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
-        final Orders orders = new Orders(config.state());
+        final OperatorOrders orders = new OperatorOrders(config.state());
         if (handover.serve()) {
             // A drain applies to the running courier. One that starts anew is meant to serve.
-            orders.change(standing -> standing.drained(false));
+            orders.change(state -> state.withDraining(false));
         }
         onLoop(() -> run(config, orders));
     }
@@ -107,12 +107,12 @@
     }
 
     /** Creates all parts on the event loop, which owns them from then on. */
-    private void run(final Config config, final Orders orders) throws IOException {
+    private void run(final Config config, final OperatorOrders orders) throws IOException {
         if (endsUnserved) {
             return;
         }
         host = new Host(config, loop, clock, new Journal(config.state(), config.diskBytes()), orders);
-        intake = new Intake(config, clock, host, orders);
+        intake = new ClientServer(config, clock, host, orders);
         host.start();
         manage(config, orders);
         seek(config);
@@ -155,7 +155,7 @@
     }
 
     /** Opens the management address if one is configured. */
-    private void manage(final Config config, final Orders orders) {
+    private void manage(final Config config, final OperatorOrders orders) {
         if (config.mgmt() == null) {
             return;
         }
@@ -244,7 +244,7 @@
             intake.closeListener();
             stopWhen(stopUs, () -> host.idle() && intake.isEmpty());
         });
-        at(notBeforeRead(fromUs + HANG_UP_MS * US_PER_MS), intake::hangUp);
+        at(notBeforeRead(fromUs + HANG_UP_MS * US_PER_MS), intake::endConnections);
     }
 
     /** The given time, or later if the event loop is late and still has to read what is in the listener's queue. */
@@ -260,7 +260,7 @@
     /** Hands over to another process: only finishes its calls and its clients' connections. */
     private void leave(final long fromUs) throws IOException {
         Log.info("handing over to another process");
-        intake.leave();
+        intake.handOver();
         host.leave();
         handover.letGo();
         loop.execute(() -> stopListening(fromUs + LEAVE_LISTEN_MS * US_PER_MS));
@@ -291,7 +291,7 @@
         loop.scheduleWithFixedDelay(
                 () -> {
                     if (done.getAsBoolean() || clock.nowUs() >= stopUs) {
-                        intake.hangUp();
+                        intake.endConnections();
                         host.cutOff();
                         stopped.countDown();
                     }
--- a/src/main/java/driftchute/node/Management.java
+++ b/src/main/java/driftchute/node/Management.java
@@ -33,7 +33,7 @@
 final class Management {
     private static final int MAX_LINE_BYTES = 256;
     /** Time within which a caller must have sent a complete line. */
-    private static final long CALL_MS = 5000;
+    private static final long COMMAND_TIMEOUT_MS = 5000;
 
     private static final long LINGER_MS = 500;
     /**
@@ -45,21 +45,21 @@
     private static final int MIN_CALLERS = 8;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final Orders orders;
-    private final BooleanSupplier serves;
-    private final Predicate<String> listed;
-    private final int mostCallers;
+    private final OperatorOrders orders;
+    private final BooleanSupplier isServing;
+    private final Predicate<String> wasListed;
+    private final int maxCallers;
     private final Set<Channel> callers = new LinkedHashSet<>();
 
     /**
      * {@code serves}: whether this process can serve. {@code listed}: whether the list has named that endpoint. Both
      * are called on this class's own thread.
      */
-    Management(final Config config, final Orders orders, final BooleanSupplier serves, final Predicate<String> listed) {
+    Management(final Config config, final OperatorOrders orders, final BooleanSupplier serves, final Predicate<String> listed) {
         this.orders = orders;
-        this.serves = serves;
-        this.listed = listed;
-        this.mostCallers = (int) Math.max(MIN_CALLERS, SOCKET_SHARE * config.sockets());
+        this.isServing = serves;
+        this.wasListed = listed;
+        this.maxCallers = (int) Math.max(MIN_CALLERS, SOCKET_SHARE * config.sockets());
     }
 
     ChannelFuture listen(final Config config) {
@@ -71,22 +71,22 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(final Channel channel) {
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES), new Call());
+                        channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES), new CallerConnection());
                     }
                 })
                 .bind(config.mgmt());
     }
 
     /** Executes a command line and returns the answer. */
-    private String obey(final String line) {
+    private String execute(final String line) {
         final String[] words = line.trim().split("\\s+");
-        final boolean named = words[0].equals("set-down") || words[0].equals("set-up");
-        if (words.length != (named ? 2 : 1)) {
-            return named ? "ERR " + words[0] + " takes one endpoint's id" : "ERR unknown call";
+        final boolean takesEndpoint = words[0].equals("set-down") || words[0].equals("set-up");
+        if (words.length != (takesEndpoint ? 2 : 1)) {
+            return takesEndpoint ? "ERR " + words[0] + " takes one endpoint's id" : "ERR unknown call";
         }
         try {
             return switch (words[0]) {
-                case "check" -> serves.getAsBoolean() ? "OK" : "ERR not ready to serve";
+                case "check" -> isServing.getAsBoolean() ? "OK" : "ERR not ready to serve";
                 case "set-down" -> setDown(words[1]);
                 case "set-up" -> setUp(words[1]);
                 case "drain-on" -> drain(true);
@@ -100,45 +100,45 @@
     }
 
     private String setDown(final String endpoint) throws IOException {
-        if (!isKnown(endpoint)) {
+        if (!isKnownEndpoint(endpoint)) {
             return "ERR no such endpoint was ever listed";
         }
-        orders.change(standing -> standing.with(endpoint));
+        orders.change(state -> state.withDisabled(endpoint));
         Log.info("orders: " + endpoint + " is left out");
         return "OK " + endpoint + " is left out";
     }
 
     private String setUp(final String endpoint) throws IOException {
-        if (!isKnown(endpoint)) {
+        if (!isKnownEndpoint(endpoint)) {
             return "ERR no such endpoint was ever listed";
         }
-        orders.change(standing -> standing.without(endpoint));
+        orders.change(state -> state.withEnabled(endpoint));
         Log.info("orders: " + endpoint + " is used again");
         return "OK " + endpoint + " is used again";
     }
 
     /** A disabled endpoint was listed once, possibly before this process started. */
-    private boolean isKnown(final String endpoint) {
-        return listed.test(endpoint) || orders.standing().out().contains(endpoint);
+    private boolean isKnownEndpoint(final String endpoint) {
+        return wasListed.test(endpoint) || orders.current().disabledEndpoints().contains(endpoint);
     }
 
     private String drain(final boolean on) throws IOException {
-        orders.change(standing -> standing.drained(on));
+        orders.change(state -> state.withDraining(on));
         Log.info(on ? "orders: drain" : "orders: end of the drain");
         return on ? "OK draining" : "OK serving";
     }
 
     /** The connection of one caller. */
-    private final class Call extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class CallerConnection extends SimpleChannelInboundHandler<ByteBuf> {
         private boolean answered;
 
         @Override
         public void channelActive(final ChannelHandlerContext ctx) {
             callers.add(ctx.channel());
-            if (callers.size() > mostCallers) {
+            if (callers.size() > maxCallers) {
                 callers.iterator().next().close();
             }
-            ctx.executor().schedule(() -> answer(ctx, "ERR no call came"), CALL_MS, TimeUnit.MILLISECONDS);
+            ctx.executor().schedule(() -> answer(ctx, "ERR no call came"), COMMAND_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -150,7 +150,7 @@
         protected void channelRead0(final ChannelHandlerContext ctx, final ByteBuf line) {
             // Further input is read and discarded, because a reset could overtake the answer.
             if (!answered) {
-                answer(ctx, obey(line.toString(StandardCharsets.UTF_8)));
+                answer(ctx, execute(line.toString(StandardCharsets.UTF_8)));
             }
         }
 
--- a/src/main/java/driftchute/node/Notices.java
+++ b/src/main/java/driftchute/node/NoticeSender.java
@@ -34,7 +34,7 @@
  * Sends the notices about accepted and undelivered messages to the platform: one batch at a time over a kept
  * connection, repeated until confirmed. Until then the journal holds them. Runs on the event loop's thread.
  */
-final class Notices {
+final class NoticeSender {
     private static final int CONNECT_MS = 1000;
     /**
      * Bounds of the time-out for an answer. The platform normally answers at once, so a longer silence means that the
@@ -53,30 +53,30 @@
     private static final int MAX_IN_BATCH = 64;
     private static final int MAX_BODY_BYTES = 1 << 16;
     private static final int CONFIRMED = 204;
-    private static final int UNREADABLE = 400;
+    private static final int BAD_REQUEST = 400;
 
     private final EventLoop loop;
     private final Consumer<List<Held>> confirmation;
     private final ObjectMapper json = new ObjectMapper();
     /** All unconfirmed notices, including those of the batch. */
-    private final Set<Held> owed = new LinkedHashSet<>();
+    private final Set<Held> unconfirmed = new LinkedHashSet<>();
     /** Notices that were sent and are not answered yet. */
     private final List<Held> batch = new ArrayList<>();
 
     private InetSocketAddress address;
-    private Line line;
-    private Future<?> answerBy;
-    private Future<?> again;
+    private PlatformConnection connection;
+    private Future<?> answerTimer;
+    private Future<?> retryTimer;
     private long backOffMs = MIN_AGAIN_MS;
-    private long answerMs = MIN_ANSWER_MS;
-    private int most = MAX_IN_BATCH;
+    private long answerTimeoutMs = MIN_ANSWER_MS;
+    private int maxBatchSize = MAX_IN_BATCH;
 
-    Notices(final InetSocketAddress address, final EventLoop loop, final Host host) {
+    NoticeSender(final InetSocketAddress address, final EventLoop loop, final Host host) {
         this(address, loop, host::noticed);
     }
 
     /** {@code confirmation} receives the notices that the platform has confirmed. */
-    Notices(final InetSocketAddress address, final EventLoop loop, final Consumer<List<Held>> confirmation) {
+    NoticeSender(final InetSocketAddress address, final EventLoop loop, final Consumer<List<Held>> confirmation) {
         this.address = address;
         this.loop = loop;
         this.confirmation = confirmation;
@@ -84,52 +84,52 @@
 
     /** Adds a notice. It is sent with the next flush. */
     void add(final Held held) {
-        owed.add(held);
+        unconfirmed.add(held);
     }
 
     /** True if the platform has confirmed all notices. */
     boolean isEmpty() {
-        return owed.isEmpty();
+        return unconfirmed.isEmpty();
     }
 
     /** Sends the next batch, unless one is unanswered or a back-off is running. */
     void flush() {
-        if (owed.isEmpty() || !batch.isEmpty() || again != null) {
+        if (unconfirmed.isEmpty() || !batch.isEmpty() || retryTimer != null) {
             return;
         }
-        final String body = fill();
-        answerBy = loop.schedule(this::unanswered, answerMs, TimeUnit.MILLISECONDS);
-        if (line == null) {
-            line = new Line();
-            line.connect(body);
+        final String body = fillBatch();
+        answerTimer = loop.schedule(this::onAnswerTimeout, answerTimeoutMs, TimeUnit.MILLISECONDS);
+        if (connection == null) {
+            connection = new PlatformConnection();
+            connection.connect(body);
         } else {
-            line.post(body);
+            connection.post(body);
         }
     }
 
     /** Switches to another address of the platform. Unconfirmed notices are sent there. */
-    void move(final InetSocketAddress next) {
+    void switchTo(final InetSocketAddress next) {
         if (next.equals(address)) {
             return;
         }
         address = next;
         backOffMs = MIN_AGAIN_MS;
-        answerMs = MIN_ANSWER_MS;
-        if (again != null) {
-            again.cancel(false);
-            again = null;
+        answerTimeoutMs = MIN_ANSWER_MS;
+        if (retryTimer != null) {
+            retryTimer.cancel(false);
+            retryTimer = null;
         }
-        rest();
+        closeConnection();
         flush();
     }
 
     /** Fills the batch and returns its text, one line per notice. */
-    private String fill() {
+    private String fillBatch() {
         final StringBuilder text = new StringBuilder();
-        for (final Held held : owed) {
-            final String next = text(held);
+        for (final Held held : unconfirmed) {
+            final String next = toJson(held);
             // An id arrived in a header, so its characters take at most two bytes each.
-            if (batch.size() == most || !batch.isEmpty() && 2 * (text.length() + next.length()) >= MAX_BODY_BYTES) {
+            if (batch.size() == maxBatchSize || !batch.isEmpty() && 2 * (text.length() + next.length()) >= MAX_BODY_BYTES) {
                 break;
             }
             batch.add(held);
@@ -138,7 +138,7 @@
         return text.toString();
     }
 
-    private String text(final Held held) {
+    private String toJson(final Held held) {
         final ObjectNode notice = json.createObjectNode()
                 .put("id", held.id)
                 .put("status", held.notice().failed() ? "undeliverable" : "deferred");
@@ -148,46 +148,46 @@
         return notice.toString();
     }
 
-    private void answered(final int status) {
+    private void onAnswer(final int status) {
         if (status == CONFIRMED) {
             final List<Held> confirmed = List.copyOf(batch);
-            stopWaiting();
-            confirmed.forEach(owed::remove);
+            clearBatch();
+            confirmed.forEach(unconfirmed::remove);
             confirmation.accept(confirmed);
             backOffMs = MIN_AGAIN_MS;
-            answerMs = MIN_ANSWER_MS;
-            most = Math.min(MAX_IN_BATCH, 2 * most);
+            answerTimeoutMs = MIN_ANSWER_MS;
+            maxBatchSize = Math.min(MAX_IN_BATCH, 2 * maxBatchSize);
             flush();
             return;
         }
         // A notice that the platform cannot parse must not block the others: use smaller batches and send these last.
-        owed.removeAll(Set.copyOf(batch));
-        owed.addAll(batch);
-        final boolean divides = status == UNREADABLE && batch.size() > 1;
-        most = Math.max(1, batch.size() / 2);
-        stopWaiting();
-        if (divides) {
+        unconfirmed.removeAll(Set.copyOf(batch));
+        unconfirmed.addAll(batch);
+        final boolean splitBatch = status == BAD_REQUEST && batch.size() > 1;
+        maxBatchSize = Math.max(1, batch.size() / 2);
+        clearBatch();
+        if (splitBatch) {
             flush();
         } else {
-            later();
+            scheduleRetry();
         }
     }
 
-    private void unanswered() {
-        answerMs = Math.min(2 * answerMs, MAX_ANSWER_MS);
-        failed();
+    private void onAnswerTimeout() {
+        answerTimeoutMs = Math.min(2 * answerTimeoutMs, MAX_ANSWER_MS);
+        onFailure();
     }
 
     /** The batch was not confirmed, and its connection is unusable. */
-    private void failed() {
-        rest();
-        later();
+    private void onFailure() {
+        closeConnection();
+        scheduleRetry();
     }
 
-    private void later() {
-        again = loop.schedule(
+    private void scheduleRetry() {
+        retryTimer = loop.schedule(
                 () -> {
-                    again = null;
+                    retryTimer = null;
                     flush();
                 },
                 backOffMs,
@@ -195,25 +195,25 @@
         backOffMs = Math.min(2 * backOffMs, MAX_AGAIN_MS);
     }
 
-    private void rest() {
-        stopWaiting();
-        final Line old = line;
-        line = null;
+    private void closeConnection() {
+        clearBatch();
+        final PlatformConnection old = connection;
+        connection = null;
         if (old != null) {
             old.close();
         }
     }
 
-    private void stopWaiting() {
+    private void clearBatch() {
         batch.clear();
-        if (answerBy != null) {
-            answerBy.cancel(false);
-            answerBy = null;
+        if (answerTimer != null) {
+            answerTimer.cancel(false);
+            answerTimer = null;
         }
     }
 
     /** One connection to the platform. */
-    private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class PlatformConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
 
         private void connect(final String body) {
@@ -228,15 +228,15 @@
                                     .addLast(
                                             new HttpClientCodec(),
                                             new HttpObjectAggregator(MAX_BODY_BYTES),
-                                            Line.this);
+                                            PlatformConnection.this);
                         }
                     })
                     .connect(address)
                     .addListener(done -> {
                         if (!done.isSuccess()) {
                             // If no descriptor was available, this is another thread.
-                            loop.execute(this::lost);
-                        } else if (line == this) {
+                            loop.execute(this::onLost);
+                        } else if (connection == this) {
                             post(body);
                         } else {
                             close();
@@ -265,32 +265,32 @@
         }
 
         /** Only the current connection counts, and only while a batch is unanswered. */
-        private void lost() {
-            if (line != this) {
+        private void onLost() {
+            if (connection != this) {
                 return;
             }
-            line = null;
+            connection = null;
             if (!batch.isEmpty()) {
-                failed();
+                onFailure();
             }
         }
 
         @Override
         protected void channelRead0(final ChannelHandlerContext ctx, final FullHttpResponse answer) {
-            if (line != this || batch.isEmpty() || answer.decoderResult().isFailure()) {
+            if (connection != this || batch.isEmpty() || answer.decoderResult().isFailure()) {
                 ctx.close();
                 return;
             }
             if (!HttpUtil.isKeepAlive(answer)) {
-                line = null;
+                connection = null;
                 ctx.close();
             }
-            answered(answer.status().code());
+            onAnswer(answer.status().code());
         }
 
         @Override
         public void channelInactive(final ChannelHandlerContext ctx) {
-            lost();
+            onLost();
         }
 
         @Override
--- a/src/main/java/driftchute/node/Orders.java
+++ b/src/main/java/driftchute/node/OperatorOrders.java
@@ -21,33 +21,33 @@
  * the only source of truth: every process of the courier checks it before it acts, so that an order applies to all of
  * them once the file is in place. Thread-safe.
  */
-final class Orders {
+final class OperatorOrders {
     private static final String FILE = "orders";
     private static final String NEXT_FILE = "orders.next";
     private static final String LOCK_FILE = "orders.lock";
-    private static final String OUT = "out ";
-    private static final String DRAIN = "drain";
+    private static final String DISABLED_PREFIX = "out ";
+    private static final String DRAIN_LINE = "drain";
 
     /** The orders in force. */
-    record Standing(Set<String> out, boolean drain) {
-        Standing {
-            out = Set.copyOf(out);
+    record State(Set<String> disabledEndpoints, boolean draining) {
+        State {
+            disabledEndpoints = Set.copyOf(disabledEndpoints);
         }
 
-        Standing with(final String endpoint) {
-            final Set<String> more = new TreeSet<>(out);
+        State withDisabled(final String endpoint) {
+            final Set<String> more = new TreeSet<>(disabledEndpoints);
             more.add(endpoint);
-            return new Standing(more, drain);
+            return new State(more, draining);
         }
 
-        Standing without(final String endpoint) {
-            final Set<String> fewer = new TreeSet<>(out);
+        State withEnabled(final String endpoint) {
+            final Set<String> fewer = new TreeSet<>(disabledEndpoints);
             fewer.remove(endpoint);
-            return new Standing(fewer, drain);
+            return new State(fewer, draining);
         }
 
-        Standing drained(final boolean on) {
-            return new Standing(out, on);
+        State withDraining(final boolean on) {
+            return new State(disabledEndpoints, on);
         }
     }
 
@@ -57,29 +57,29 @@
      * Held by a thread while it changes the orders, also while it waits for another process's file lock. Readers do not
      * wait for it.
      */
-    private final Object changing = new Object();
+    private final Object changeLock = new Object();
 
-    private long seenMs = -1;
-    private Standing standing = new Standing(Set.of(), false);
+    private long modifiedMs = -1;
+    private State current = new State(Set.of(), false);
 
-    Orders(final Path folder) {
+    OperatorOrders(final Path folder) {
         this.folder = folder;
         this.file = folder.resolve(FILE).toFile();
     }
 
     /** The present orders; the same object as long as nothing has changed. */
-    synchronized Standing standing() {
+    synchronized State current() {
         final long atMs = file.lastModified();
-        if (atMs != seenMs) {
+        if (atMs != modifiedMs) {
             try {
-                standing = atMs == 0 ? new Standing(Set.of(), false) : read();
-                seenMs = atMs;
+                current = atMs == 0 ? new State(Set.of(), false) : read();
+                modifiedMs = atMs;
             } catch (final IOException e) {
                 // The previous orders stay in force; the file is read again the next time.
                 Log.info("orders: cannot read the file: " + e.getMessage());
             }
         }
-        return standing;
+        return current;
     }
 
     /**
@@ -87,15 +87,15 @@
      *
      * @throws IOException if they cannot be stored
      */
-    void change(final UnaryOperator<Standing> step) throws IOException {
-        synchronized (changing) {
+    void change(final UnaryOperator<State> step) throws IOException {
+        synchronized (changeLock) {
             Files.createDirectories(folder);
             try (FileChannel channel = FileChannel.open(
                             folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                     FileLock lock = channel.lock()) {
                 assert lock.isValid();
-                final Standing before = standing();
-                final Standing after = step.apply(before);
+                final State before = current();
+                final State after = step.apply(before);
                 if (!after.equals(before)) {
                     write(after);
                 }
@@ -103,34 +103,34 @@
         }
     }
 
-    private synchronized void write(final Standing next) throws IOException {
+    private synchronized void write(final State next) throws IOException {
         final List<String> lines = new ArrayList<>();
-        new TreeSet<>(next.out()).forEach(endpoint -> lines.add(OUT + endpoint));
-        if (next.drain()) {
-            lines.add(DRAIN);
+        new TreeSet<>(next.disabledEndpoints()).forEach(endpoint -> lines.add(DISABLED_PREFIX + endpoint));
+        if (next.draining()) {
+            lines.add(DRAIN_LINE);
         }
         final Path fresh = folder.resolve(NEXT_FILE);
         Files.write(fresh, lines, StandardCharsets.UTF_8);
         // Each version has a different modification time, by which the other processes notice it.
-        final long atMs = Math.max(System.currentTimeMillis(), Math.max(0, seenMs) + 1);
+        final long atMs = Math.max(System.currentTimeMillis(), Math.max(0, modifiedMs) + 1);
         Files.setLastModifiedTime(fresh, FileTime.fromMillis(atMs));
         Files.move(fresh, file.toPath(), StandardCopyOption.ATOMIC_MOVE);
-        standing = next;
-        seenMs = atMs;
+        current = next;
+        modifiedMs = atMs;
     }
 
-    private Standing read() throws IOException {
-        final Set<String> out = new TreeSet<>();
-        boolean drain = false;
+    private State read() throws IOException {
+        final Set<String> disabled = new TreeSet<>();
+        boolean draining = false;
         for (final String line : Files.readAllLines(file.toPath(), StandardCharsets.UTF_8)) {
-            if (line.startsWith(OUT)) {
-                out.add(line.substring(OUT.length()));
-            } else if (line.equals(DRAIN)) {
-                drain = true;
+            if (line.startsWith(DISABLED_PREFIX)) {
+                disabled.add(line.substring(DISABLED_PREFIX.length()));
+            } else if (line.equals(DRAIN_LINE)) {
+                draining = true;
             } else {
                 Log.info("orders: unknown line: " + line);
             }
         }
-        return new Standing(out, drain);
+        return new State(disabled, draining);
     }
 }
--- a/src/main/java/driftchute/node/Rehearsal.java
+++ b/src/main/java/driftchute/node/Rehearsal.java
@@ -46,7 +46,7 @@
                   "limits":{"max_open":9,"most_tries":2,"idle_close":1000000}}}
                 """.formatted(own, ADDRESS + ":" + mgmtPort, own, own));
         // Loads the parser's classes: this discovery never answers with a list.
-        new JsonValues(list -> {}).read(Files.readAllBytes(config));
+        new JsonStreamParser(list -> {}).parse(Files.readAllBytes(config));
         Main.start(Map.of(
                 "PROXY_CONFIG",
                 config.toString(),
--- a/src/main/java/driftchute/node/RequestDecoder.java
+++ b/src/main/java/driftchute/node/RequestDecoder.java
@@ -20,32 +20,32 @@
     private static final int MAX_HEAD_BYTES = 8192;
 
     /** Callbacks of the connection while requests arrive. */
-    interface Flow {
+    interface Listener {
         /** Bytes have arrived. */
-        void bytesCame();
+        void onBytes();
 
         /** The first byte of a request has arrived. */
-        void begun();
+        void onRequestBegun();
 
         /** False while bytes already read must wait undecoded. */
-        boolean mayGoOn();
+        boolean canDecode();
     }
 
-    private final Flow flow;
+    private final Listener listener;
     private ChannelHandlerContext context;
     /** A request has begun and is not complete. */
-    private boolean isMidway;
+    private boolean inRequest;
 
-    private boolean hasFilledItsBuffer;
+    private boolean filledReadBuffer;
 
-    RequestDecoder(final Flow flow) {
+    RequestDecoder(final Listener listener) {
         super(new HttpDecoderConfig()
                 .setMaxInitialLineLength(MAX_LINE_BYTES)
                 .setMaxHeaderSize(MAX_HEAD_BYTES)
                 .setAllowDuplicateContentLengths(false)
                 .setStrictLineParsing(true)
                 .setUseRfc9112TransferEncoding(true));
-        this.flow = flow;
+        this.listener = listener;
     }
 
     @Override
@@ -55,34 +55,34 @@
 
     @Override
     public void channelRead(final ChannelHandlerContext ctx, final Object bytes) throws Exception {
-        flow.bytesCame();
-        hasFilledItsBuffer = bytes instanceof ByteBuf buffer && !buffer.isWritable();
+        listener.onBytes();
+        filledReadBuffer = bytes instanceof ByteBuf buffer && !buffer.isWritable();
         super.channelRead(ctx, bytes);
     }
 
     @Override
     protected void decode(final ChannelHandlerContext ctx, final ByteBuf in, final List<Object> out) throws Exception {
-        if (!isMidway) {
+        if (!inRequest) {
             // Empty lines before a request are not part of it (RFC 9112, 2.2).
-            in.skipBytes(blankBytes(in));
-            if (!in.isReadable() || !flow.mayGoOn()) {
+            in.skipBytes(countLineBreaks(in));
+            if (!in.isReadable() || !listener.canDecode()) {
                 return;
             }
-            isMidway = true;
-            flow.begun();
+            inRequest = true;
+            listener.onRequestBegun();
         }
         super.decode(ctx, in, out);
-        isMidway = out.isEmpty() || !(out.get(out.size() - 1) instanceof LastHttpContent);
+        inRequest = out.isEmpty() || !(out.get(out.size() - 1) instanceof LastHttpContent);
     }
 
-    private static int blankBytes(final ByteBuf in) {
+    private static int countLineBreaks(final ByteBuf in) {
         final int end = in.forEachByte(next -> next == '\r' || next == '\n');
         return end < 0 ? in.readableBytes() : end - in.readerIndex();
     }
 
     /** True if bytes of the last read are left, or more bytes have probably arrived with it. */
     boolean mayHaveMore() {
-        return hasFilledItsBuffer || !isRemoved() && internalBuffer().readableBytes() > blankBytes(internalBuffer());
+        return filledReadBuffer || !isRemoved() && internalBuffer().readableBytes() > countLineBreaks(internalBuffer());
     }
 
     boolean isRemoved() {
@@ -106,7 +106,7 @@
     }
 
     /** True if the body is framed by a length alone or by the chunked coding alone. */
-    static boolean isFramedPlainly(final HttpMessage message) {
+    static boolean hasSingleFraming(final HttpMessage message) {
         final var codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return codings.isEmpty()
                 || codings.size() == 1
--- a/src/main/java/driftchute/node/AnswerDecoder.java
+++ b/src/main/java/driftchute/node/ResponseDecoder.java
@@ -12,22 +12,22 @@
  * A strict response decoder that reports each answer's beginning and its status line as early as possible. The status
  * line is valid whatever happens to the rest.
  */
-final class AnswerDecoder extends HttpResponseDecoder {
+final class ResponseDecoder extends HttpResponseDecoder {
     private static final int MAX_LINE_BYTES = 1024;
     private static final int MAX_HEAD_BYTES = 8192;
 
     /** Receives the events. */
     interface Listener {
         /** Bytes of an answer have arrived. */
-        void begun();
+        void onAnswerBegun();
 
         /** The status line of an answer is complete. */
-        void firstLine(HttpResponse answer);
+        void onStatusLine(HttpResponse answer);
     }
 
     private final Listener listener;
 
-    AnswerDecoder(final Listener listener) {
+    ResponseDecoder(final Listener listener) {
         super(new HttpDecoderConfig()
                 .setMaxInitialLineLength(MAX_LINE_BYTES)
                 .setMaxHeaderSize(MAX_HEAD_BYTES)
@@ -40,7 +40,7 @@
     protected void decode(final ChannelHandlerContext context, final ByteBuf bytes, final List<Object> out)
             throws Exception {
         if (bytes.isReadable()) {
-            listener.begun();
+            listener.onAnswerBegun();
         }
         super.decode(context, bytes, out);
     }
@@ -48,7 +48,7 @@
     @Override
     protected HttpMessage createMessage(final String[] firstLine) {
         final HttpMessage message = super.createMessage(firstLine);
-        listener.firstLine((HttpResponse) message);
+        listener.onStatusLine((HttpResponse) message);
         return message;
     }
 
--- a/src/main/java/driftchute/node/KnownList.java
+++ b/src/main/java/driftchute/node/StoredList.java
@@ -18,14 +18,14 @@
  * the courier, whichever of its processes received it (PROTOCOL-irishead.md, Discovery), and discovery may be
  * unreachable when the next process starts. Only the serving process writes the file. Runs on the event loop's thread.
  */
-final class KnownList {
+final class StoredList {
     private static final String FILE = "list";
     private static final String NEXT_FILE = "list.next";
     /** Share of the disk that the file may use; twice that while it is replaced. */
     private static final double DISK_SHARE = 0.05;
 
     private final Path folder;
-    private final long mostBytes;
+    private final long maxBytes;
     private final ObjectMapper json = new ObjectMapper();
     /** The listed entries by endpoint name, without those that are gone. */
     private final Map<String, JsonNode> hosts = new LinkedHashMap<>();
@@ -33,17 +33,17 @@
     private long version;
     private String from = "";
     /** Discovery has reported a list, to this process or to one whose list was taken over. */
-    private boolean told;
+    private boolean hasReport;
 
-    private boolean keeps;
+    private boolean isStoring;
 
-    KnownList(final Path folder, final long diskBytes) {
+    StoredList(final Path folder, final long diskBytes) {
         this.folder = folder;
-        this.mostBytes = (long) (DISK_SHARE * diskBytes);
+        this.maxBytes = (long) (DISK_SHARE * diskBytes);
     }
 
     /** A valid list or change arrived from discovery at that address, or from the configuration. */
-    void told(final JsonNode list, final Courier.Update update, final InetSocketAddress at) {
+    void update(final JsonNode list, final Courier.Update update, final InetSocketAddress at) {
         if (update != Courier.Update.CHANGES) {
             hosts.clear();
         }
@@ -56,19 +56,19 @@
         });
         version = list.path("seq").asLong();
         from = text(at);
-        told |= update != Courier.Update.RESTORED;
+        hasReport |= update != Courier.Update.RESTORED;
         write();
     }
 
     /** Starts storing the list: this process serves from now on. */
-    void keep() {
-        keeps = true;
+    void startStoring() {
+        isStoring = true;
         write();
     }
 
     /** Stops storing the list: another process serves, and the file is its own. */
-    void leave() {
-        keeps = false;
+    void stopStoring() {
+        isStoring = false;
     }
 
     /** The stored list from discovery at that address if it is newer than {@code known}, otherwise {@code known}. */
@@ -91,7 +91,7 @@
                 // Each address numbers its versions independently.
                 final boolean same = kept.path("from").asText().equals(text(at))
                         && kept.path("hosts").isArray();
-                told |= same;
+                hasReport |= same;
                 return same ? kept : null;
             }
         } catch (final IOException e) {
@@ -101,7 +101,7 @@
     }
 
     private void write() {
-        if (!keeps || !told) {
+        if (!isStoring || !hasReport) {
             return;
         }
         final ObjectNode all =
@@ -110,9 +110,9 @@
         hosts.values().forEach(entries::add);
         try {
             final byte[] bytes = json.writeValueAsBytes(all);
-            if (bytes.length > mostBytes) {
+            if (bytes.length > maxBytes) {
                 Files.deleteIfExists(folder.resolve(FILE));
-                throw new IOException(bytes.length + " bytes exceed the maximum of " + mostBytes);
+                throw new IOException(bytes.length + " bytes exceed the maximum of " + maxBytes);
             }
             final Path fresh = folder.resolve(NEXT_FILE);
             Files.write(fresh, bytes);
