--- a/src/main/java/driftchute/node/ClientServer.java
+++ b/src/main/java/driftchute/node/ClientServer.java
@@ -106,13 +106,13 @@
     private static final double SOCKET_SHARE = 0.4;
     /**
      * The same for a process that is being replaced: its successor has the full share for clients, and each of the two
-     * has a fifth for calls ({@link Host}). Together they stay within the courier's sockets (DEPLOY-irishead.md).
+     * has a fifth for calls ({@link DeliveryService}). Together they stay within the courier's sockets (DEPLOY-irishead.md).
      */
     private static final double HANDOVER_SOCKET_SHARE = 0.15;
 
     private final Config config;
     private final Clock clock;
-    private final Host host;
+    private final DeliveryService host;
     private final OperatorOrders orders;
     private int maxConnections;
     private final Set<ClientConnection> connections = new HashSet<>();
@@ -140,7 +140,7 @@
     private int acceptFailures;
     private long capacityLoggedUs;
 
-    ClientServer(final Config config, final Clock clock, final Host host, final OperatorOrders orders) {
+    ClientServer(final Config config, final Clock clock, final DeliveryService host, final OperatorOrders orders) {
         this.config = config;
         this.clock = clock;
         this.host = host;
@@ -694,7 +694,7 @@
                 return;
             }
             final String className = path.substring(Math.min(path.length(), 1)).split("/", 2)[0];
-            final Courier.MessageClass messageClass = host.kind(className);
+            final Courier.MessageClass messageClass = host.messageClass(className);
             if (messageClass == null) {
                 answer(HttpResponseStatus.NOT_FOUND, 0);
             } else if (!request.head().method().equals(HttpMethod.POST)) {
@@ -720,13 +720,13 @@
                 answer(HttpResponseStatus.BAD_REQUEST, 0);
                 return;
             }
-            if (!host.knows(destination)) {
+            if (!host.isKnownDestination(destination)) {
                 answer(HttpResponseStatus.NOT_FOUND, 0);
                 return;
             }
             // The call of a message that has just ended or was withdrawn may still be in flight, and the two could not
             // be told apart.
-            if (host.holds(id) || idReservedUntilUs.getOrDefault(id, 0L) > clock.nowUs()) {
+            if (host.isOpen(id) || idReservedUntilUs.getOrDefault(id, 0L) > clock.nowUs()) {
                 answer(HttpResponseStatus.CONFLICT, 0);
                 return;
             }
@@ -734,9 +734,9 @@
             final long validUntilUs = clock.nowUs() + lifeUs;
             currentId = id;
             host.offer(
-                    new Held(id, messageClass.name(), key, destination, clock.wallUs() + lifeUs, request.body()),
+                    new JournaledMessage(id, messageClass.name(), key, destination, clock.wallUs() + lifeUs, request.body()),
                     validUntilUs,
-                    new Host.Reply() {
+                    new DeliveryService.Reply() {
                         @Override
                         public void accepted() {
                             idReservedUntilUs.put(id, validUntilUs + ID_RESERVED_US);
--- a/src/main/java/driftchute/node/Config.java
+++ b/src/main/java/driftchute/node/Config.java
@@ -117,14 +117,14 @@
                     fields.text("name", "courier"),
                     address("listen", fields.text("listen")),
                     fields.text("mgmt", "").isEmpty() ? null : address("mgmt", fields.text("mgmt")),
-                    remote("discovery", fields.text("discovery")),
+                    remoteAddress("discovery", fields.text("discovery")),
                     Path.of(fields.text("state")),
                     seed(fields.text("seed", "0")),
-                    (int) atLeastOne(fields, "limits.sockets", 1024),
-                    atLeastOne(fields, "limits.disk_mb", 1) * BYTES_PER_MB,
+                    (int) positive(fields, "limits.sockets", 1024),
+                    positive(fields, "limits.disk_mb", 1) * BYTES_PER_MB,
                     root.path("known"),
                     SettingsReader.read(settings),
-                    atLeastOne(settings, "limits.connect_timeout", 1_000_000),
+                    positive(settings, "limits.connect_timeout", 1_000_000),
                     fleet(root, fields, settings));
         } catch (final MalformedLineException e) {
             throw new BadConfigException(e.getMessage());
@@ -140,7 +140,7 @@
         }
         final var block = FleetSettings.block(root.path("fleet"));
         final List<InetSocketAddress> peers = Arrays.stream(fields.list("peers"))
-                .map(text -> remote("peers", text))
+                .map(text -> remoteAddress("peers", text))
                 .toList();
         if (!List.of("1", "true").contains(settings.text("limits.may_tell", "0")) || peers.isEmpty()) {
             Log.info("fleet: off: " + (peers.isEmpty() ? "no 'peers'" : "'limits.may_tell' does not allow peers"));
@@ -180,7 +180,7 @@
         }
     }
 
-    private static long atLeastOne(final Fields fields, final String name, final long absent) {
+    private static long positive(final Fields fields, final String name, final long absent) {
         final long value = fields.whole(name, absent);
         if (value < 1) {
             throw fields.malformed("'" + name + "' is at least 1, not " + value);
@@ -197,10 +197,10 @@
     }
 
     /** The address of a remote service. Like {@link #address}, but requires a port. */
-    static InetSocketAddress remote(final String what, final String text) {
-        final InetSocketAddress address = address(what, text);
+    static InetSocketAddress remoteAddress(final String name, final String text) {
+        final InetSocketAddress address = address(name, text);
         if (address.getPort() == 0) {
-            throw new IllegalArgumentException("'" + what + "' has no port: '" + text + "'");
+            throw new IllegalArgumentException("'" + name + "' has no port: '" + text + "'");
         }
         return address;
     }
@@ -209,17 +209,17 @@
      * A numeric address with its port. Names are not allowed: there is no DNS, and a look-up would block the event
      * loop. With port 0 the system chooses a port to listen on.
      */
-    static InetSocketAddress address(final String what, final String text) {
+    static InetSocketAddress address(final String name, final String text) {
         final int colon = text.lastIndexOf(':');
         try {
-            final byte[] figures = NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(0, colon)));
+            final byte[] addressBytes = NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(0, colon)));
             final int port = Integer.parseInt(text.substring(colon + 1));
-            if (figures != null && port >= 0 && port <= MAX_PORT) {
-                return new InetSocketAddress(InetAddress.getByAddress(figures), port);
+            if (addressBytes != null && port >= 0 && port <= MAX_PORT) {
+                return new InetSocketAddress(InetAddress.getByAddress(addressBytes), port);
             }
         } catch (final NumberFormatException | UnknownHostException e) {
-            throw new IllegalArgumentException("'" + what + "' is no address: '" + text + "'", e);
+            throw new IllegalArgumentException("'" + name + "' is no address: '" + text + "'", e);
         }
-        throw new IllegalArgumentException("'" + what + "' is no address: '" + text + "'");
+        throw new IllegalArgumentException("'" + name + "' is no address: '" + text + "'");
     }
 }
--- a/src/main/java/driftchute/node/Host.java
+++ b/src/main/java/driftchute/node/DeliveryService.java
@@ -23,40 +23,40 @@
  * writes the journal before any byte that makes a promise. It holds nothing before it has taken over the journal, and
  * stops deciding when it hands over to the next process. Runs on the event loop's thread.
  */
-final class Host implements Courier.Actions {
+final class DeliveryService implements Courier.Actions {
     private static final long US_PER_MS = 1000;
     /** Retry-After when the store is full. Messages stay in it for some seconds, so a place becomes free soon. */
-    private static final long FULL_RETRY_US = 1_000_000;
+    private static final long FULL_RETRY_AFTER_US = 1_000_000;
     /** Interval of the status line in the log while many messages are held. */
     private static final long STATUS_MS = 5_000;
     /**
      * Interval at which the operators' orders are checked when nothing else triggers it, so that calls about to be sent
      * are held back.
      */
-    private static final long HEED_MS = 50;
+    private static final long ORDER_CHECK_MS = 50;
     /** Interval at which the journal of an ending predecessor is read. */
-    private static final long FOLLOW_MS = 5;
+    private static final long PREDECESSOR_POLL_MS = 5;
     /** Interval at which an ending process records the time up to which all its calls' answers are recorded. */
-    private static final long HEARD_MS = 10;
+    private static final long RECORDED_UNTIL_MS = 10;
     /**
      * Maximum age of that time for a call to a destination where the predecessor has calls in flight. A call may still
      * arrive for 100 ms after an answer that asks for a wait (PROTOCOL-irishead.md, The rules on sockets); the rest is
      * for its transmission.
      */
-    private static final long HEARD_FRESH_US = 60_000;
+    private static final long PREDECESSOR_FRESH_US = 60_000;
     /** Additional silence of the predecessor after which a line is logged. */
-    private static final long SILENT_US = 200_000;
+    private static final long PREDECESSOR_SILENT_US = 200_000;
     /** Interval of the reports to the other couriers. */
     private static final long REPORT_MS = 100;
     /** Share of a key's window after which no repeat is written. The rest is for its transmission. */
-    private static final double KEY_SHARE = 0.95;
+    private static final double KEY_WINDOW_SHARE = 0.95;
     /**
      * Maximum number of messages resumed in one turn of the event loop, with one decision pass. Resuming all at once
      * would delay clients by the first pass over a full store, which runs on code that is not compiled yet.
      */
-    private static final int TAKEN_UP_AT_ONCE = 32;
+    private static final int RESUMED_PER_TURN = 32;
     /** Share of the store above which the status is logged. */
-    private static final double PILE_SHARE = 0.1;
+    private static final double STATUS_STORE_SHARE = 0.1;
 
     /** The way to answer a client. */
     interface Reply {
@@ -71,30 +71,30 @@
     }
 
     /** An open message. */
-    static final class Open {
-        final Held held;
+    static final class OpenMessage {
+        final JournaledMessage journaled;
         /** Accepted by an earlier process, which answered the client. */
         private final boolean resumed;
 
-        final Courier.MessageClass kind;
+        final Courier.MessageClass messageClass;
         final long validUntilUs;
         /** Receives the first answer; null once it is given. */
         private Reply reply;
 
-        private boolean over;
+        private boolean finished;
         private EndpointClient.Call call;
 
-        Open(final Held held, final Courier.MessageClass kind, final long validUntilUs, final Reply reply) {
-            this.held = held;
+        OpenMessage(final JournaledMessage journaled, final Courier.MessageClass messageClass, final long validUntilUs, final Reply reply) {
+            this.journaled = journaled;
             this.resumed = reply == null;
-            this.kind = kind;
+            this.messageClass = messageClass;
             this.validUntilUs = validUntilUs;
             this.reply = reply;
         }
     }
 
     /** One message's part in a call. */
-    record Parcel(Open open, long timeoutUs) {}
+    record CallItem(OpenMessage message, long timeoutUs) {}
 
     private final Config config;
     private final EventLoop loop;
@@ -104,48 +104,48 @@
     private final DeliveryPolicy control;
     private final EndpointClient endpoints;
     private final Discovery discovery;
-    private final StoredList knownList;
-    private final NoticeSender notices;
-    private final Map<String, Open> messages = new LinkedHashMap<>();
+    private final StoredList storedList;
+    private final NoticeSender noticeSender;
+    private final Map<String, OpenMessage> messages = new LinkedHashMap<>();
     private final Map<String, Integer> classes = new HashMap<>();
-    private final Map<Long, List<Parcel>> outbox = new LinkedHashMap<>();
-    private final List<Open> unanswered = new ArrayList<>();
+    private final Map<Long, List<CallItem>> outbox = new LinkedHashMap<>();
+    private final List<OpenMessage> unanswered = new ArrayList<>();
     /** Messages of earlier processes that were not reported to the decisions yet, by id, in the order of acceptance. */
-    private final Map<String, Held> untold = new LinkedHashMap<>();
+    private final Map<String, JournaledMessage> unresumed = new LinkedHashMap<>();
 
-    private boolean passDue;
-    private InetSocketAddress discoveryAt;
+    private boolean passScheduled;
+    private InetSocketAddress discoveryAddress;
     /** Discovery has reported its list, or cannot be reached, so that the stored list is used. */
-    private boolean confirmed;
+    private boolean listConfirmed;
     /** Another process decides and sends now; this one only finishes its calls in flight. */
-    private boolean leaving;
+    private boolean handingOver;
 
-    private ScheduledFuture<?> following;
+    private ScheduledFuture<?> predecessorPoll;
     /** The shared state of the tier; null if couriers share nothing, or while this process does not serve. */
     private FleetLink fleet;
 
-    private final AtomicBoolean viewDue = new AtomicBoolean();
+    private final AtomicBoolean viewScheduled = new AtomicBoolean();
     /** State of earlier processes about destinations that are not listed yet. */
-    private final Map<Long, Courier.DestinationState> unlisted = new HashMap<>();
+    private final Map<Long, Courier.DestinationState> unlistedStates = new HashMap<>();
     /** End of the latest wait of each destination that was taken over from earlier processes. */
-    private final Map<Long, Long> waitsTakenUs = new HashMap<>();
+    private final Map<Long, Long> inheritedWaitsUs = new HashMap<>();
     /** Until when the predecessor's state counts as recent. */
-    private long freshUntilUs = Long.MAX_VALUE;
+    private long predecessorFreshUntilUs = Long.MAX_VALUE;
 
-    private boolean silent;
+    private boolean predecessorSilent;
     /**
      * Wall-clock time of the last turn and the one before, Unix us. Each connection has been read up to the earlier
      * one.
      */
-    private long turnWallUs;
+    private long lastTurnWallUs;
 
-    private long readWallUs;
+    private long previousTurnWallUs;
     /** The orders that were last reported to the decisions. */
-    private OperatorOrders.State heeded;
+    private OperatorOrders.State reportedOrders;
     /** Longest decision pass since the last status line. Nothing else runs on the event loop during a pass. */
     private long longestPassUs;
 
-    Host(final Config config, final EventLoop loop, final Clock clock, final Journal journal, final OperatorOrders orders) {
+    DeliveryService(final Config config, final EventLoop loop, final Clock clock, final Journal journal, final OperatorOrders orders) {
         this.config = config;
         this.loop = loop;
         this.clock = clock;
@@ -154,82 +154,82 @@
         this.control = new DeliveryPolicy(config.settings(), config.seed(), this);
         this.endpoints = new EndpointClient(config, loop, clock, this);
         this.discovery = new Discovery(config, loop, clock, this);
-        this.discoveryAt = config.discovery();
-        this.knownList = new StoredList(config.state(), config.diskBytes());
-        this.notices = new NoticeSender(config.discovery(), loop, this);
-        config.settings().classes().forEach(kind -> classes.put(kind.name(), classes.size()));
+        this.discoveryAddress = config.discovery();
+        this.storedList = new StoredList(config.state(), config.diskBytes());
+        this.noticeSender = new NoticeSender(config.discovery(), loop, this);
+        config.settings().classes().forEach(messageClass -> classes.put(messageClass.name(), classes.size()));
     }
 
     /** Starts to follow the list. Nothing else happens before this process takes over. */
     void start() {
-        discovery.restore(knownList.newest(config.known(), discoveryAt));
-        loop.scheduleWithFixedDelay(this::lookUp, HEED_MS, HEED_MS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(this::tell, STATUS_MS, STATUS_MS, TimeUnit.MILLISECONDS);
-        touch();
+        discovery.restore(storedList.newest(config.known(), discoveryAddress));
+        loop.scheduleWithFixedDelay(this::checkOrders, ORDER_CHECK_MS, ORDER_CHECK_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::logStatus, STATUS_MS, STATUS_MS, TimeUnit.MILLISECONDS);
+        schedulePass();
     }
 
     /**
      * Takes over: from now on this process decides, records and sends. First it resumes the messages of earlier
      * processes.
      */
-    void takeUp() throws IOException {
-        catchUp();
-        knownList.startStoring();
+    void takeOver() throws IOException {
+        loadNewerList();
+        storedList.startStoring();
         journal.open();
-        final Journal.News news = journal.poll();
-        news.over().forEach(journal::over);
-        remember(news.memories());
-        hear();
-        journal.live().forEach(held -> untold.put(held.id, held));
-        final long resumed = untold.values().stream()
-                .filter(held -> held.notice() == null && classes.containsKey(held.className))
+        final Journal.PredecessorUpdate update = journal.pollPredecessors();
+        update.completed().forEach(journal::complete);
+        applyPredecessorState(update.states());
+        updatePredecessorFreshness();
+        journal.openMessages().forEach(journaled -> unresumed.put(journaled.id, journaled));
+        final long resumed = unresumed.values().stream()
+                .filter(journaled -> journaled.notice() == null && classes.containsKey(journaled.className))
                 .count();
         if (resumed > 0) {
             Log.event("resumed", "msg", "resumed " + resumed + " messages", "messages", resumed);
         }
         if (journal.hasPredecessors()) {
             Log.info("the predecessor process is still finishing its calls");
-            following =
-                    loop.scheduleWithFixedDelay(this::followPredecessors, FOLLOW_MS, FOLLOW_MS, TimeUnit.MILLISECONDS);
+            predecessorPoll =
+                    loop.scheduleWithFixedDelay(this::followPredecessors, PREDECESSOR_POLL_MS, PREDECESSOR_POLL_MS, TimeUnit.MILLISECONDS);
         }
-        join();
-        takeUpSome();
+        joinFleet();
+        resumeNext();
     }
 
     /** Loads a newer list that the predecessor received, since discovery may be unreachable now. */
-    private void catchUp() {
-        final JsonNode list = knownList.newer(discoveryAt);
+    private void loadNewerList() {
+        final JsonNode list = storedList.newer(discoveryAddress);
         if (list != null) {
-            final boolean goesBy = confirmed;
+            final boolean wasConfirmed = listConfirmed;
             discovery.restore(list);
-            if (goesBy) {
+            if (wasConfirmed) {
                 discovery.onUnchanged();
             }
         }
     }
 
     /** Resumes the next messages. The event loop polls its sockets between two turns of this. */
-    private void takeUpSome() {
-        final List<Held> next = untold.values().stream().limit(TAKEN_UP_AT_ONCE).toList();
-        next.forEach(held -> {
-            untold.remove(held.id);
-            resume(held);
+    private void resumeNext() {
+        final List<JournaledMessage> next = unresumed.values().stream().limit(RESUMED_PER_TURN).toList();
+        next.forEach(journaled -> {
+            unresumed.remove(journaled.id);
+            resume(journaled);
         });
-        touch();
-        if (!untold.isEmpty()) {
-            loop.schedule(this::takeUpSome, 0, TimeUnit.MILLISECONDS);
+        schedulePass();
+        if (!unresumed.isEmpty()) {
+            loop.schedule(this::resumeNext, 0, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Resumes a message, or replaces the state of one that still waits to be resumed. */
-    private void takeUp(final Held held) {
-        if (untold.replace(held.id, held) == null) {
-            resume(held);
+    private void takeOver(final JournaledMessage journaled) {
+        if (unresumed.replace(journaled.id, journaled) == null) {
+            resume(journaled);
         }
     }
 
     /** Joins the fleet, if configured. Only the serving process does. */
-    private void join() {
+    private void joinFleet() {
         if (config.fleet() != null) {
             fleet = new FleetLink(
                     config.fleet(),
@@ -240,7 +240,7 @@
                     Log::event,
                     view -> {
                         // One reading of the latest view is enough, however far the traffic thread is behind.
-                        if (viewDue.compareAndSet(false, true)) {
+                        if (viewScheduled.compareAndSet(false, true)) {
                             loop.execute(this::readView);
                         }
                     });
@@ -252,13 +252,13 @@
     }
 
     private void readView() {
-        viewDue.set(false);
+        viewScheduled.set(false);
         control.onFleetView(clock.nowUs(), fleet.view());
-        touch();
+        schedulePass();
     }
 
     /** Leaves the fleet. {@code leaves}: no process of this courier continues for now. */
-    private void part(final boolean leaves) {
+    private void leaveFleet(final boolean leaves) {
         if (fleet != null) {
             fleet.end(leaves);
         }
@@ -266,23 +266,23 @@
 
     /** Reads what an ending predecessor has released since, and what its calls reported. */
     private void followPredecessors() {
-        if (leaving) {
-            following.cancel(false);
+        if (handingOver) {
+            predecessorPoll.cancel(false);
             return;
         }
-        final Journal.News news = journal.poll();
-        news.over().forEach(this::overElsewhere);
-        remember(news.memories());
-        hear();
-        news.mine().forEach(this::takeUp);
-        if (!news.mine().isEmpty() || !news.memories().isEmpty()) {
-            touch();
+        final Journal.PredecessorUpdate update = journal.pollPredecessors();
+        update.completed().forEach(this::onCompletedByPredecessor);
+        applyPredecessorState(update.states());
+        updatePredecessorFreshness();
+        update.takenOver().forEach(this::takeOver);
+        if (!update.takenOver().isEmpty() || !update.states().isEmpty()) {
+            schedulePass();
         }
         if (!journal.hasPredecessors()) {
-            following.cancel(false);
+            predecessorPoll.cancel(false);
             control.onPredecessorGone(clock.nowUs());
             Log.info("the predecessor process has ended");
-            touch();
+            schedulePass();
         }
     }
 
@@ -290,28 +290,28 @@
      * The predecessor has finished that message, so this process need not. But if a client submitted a message with the
      * same id to this process again, this process has promised to deliver it and still has to.
      */
-    private void overElsewhere(final String id) {
-        final Open open = messages.get(id);
-        if (open == null || open.resumed) {
+    private void onCompletedByPredecessor(final String id) {
+        final OpenMessage message = messages.get(id);
+        if (message == null || message.resumed) {
             withdraw(id);
         }
     }
 
-    private void remember(final List<Courier.DestinationState> memories) {
+    private void applyPredecessorState(final List<Courier.DestinationState> states) {
         final long aheadUs = clock.nowUs() - clock.wallUs();
-        memories.forEach(memory -> remember(memory.onClock(aheadUs)));
+        states.forEach(state -> applyPredecessorState(state.onClock(aheadUs)));
     }
 
-    private void remember(final Courier.DestinationState memory) {
-        final long destination = memory.destination();
+    private void applyPredecessorState(final Courier.DestinationState state) {
+        final long destination = state.destination();
         if (!discovery.hasEndpoint(destination)) {
-            unlisted.put(destination, memory);
+            unlistedStates.put(destination, state);
         }
-        control.onPredecessorState(clock.nowUs(), memory);
-        final long leftUs = memory.waitUntilUs() - clock.nowUs();
+        control.onPredecessorState(clock.nowUs(), state);
+        final long leftUs = state.waitUntilUs() - clock.nowUs();
         if (leftUs > 0) {
-            final Long before = waitsTakenUs.put(destination, memory.waitUntilUs());
-            if (before == null || before < memory.waitUntilUs() - HEARD_FRESH_US) {
+            final Long before = inheritedWaitsUs.put(destination, state.waitUntilUs());
+            if (before == null || before < state.waitUntilUs() - PREDECESSOR_FRESH_US) {
                 Log.event("wait_taken_over", "dest", destination, "left_ms", leftUs / US_PER_MS);
             }
             endpoints.giveBackUnwritten(destination);
@@ -319,22 +319,22 @@
     }
 
     /** Reports to the decisions up to when the answers to the predecessor's calls are known. */
-    private void hear() {
-        final long heardWallUs = journal.heardWallUs();
-        freshUntilUs = heardWallUs == Long.MAX_VALUE ? heardWallUs : clock.fromWallUs(heardWallUs) + HEARD_FRESH_US;
-        control.onPredecessorFresh(clock.nowUs(), freshUntilUs);
-        final boolean now = clock.nowUs() > freshUntilUs && clock.nowUs() - freshUntilUs > SILENT_US;
-        if (now && !silent) {
+    private void updatePredecessorFreshness() {
+        final long heardWallUs = journal.recordedUntilWallUs();
+        predecessorFreshUntilUs = heardWallUs == Long.MAX_VALUE ? heardWallUs : clock.fromWallUs(heardWallUs) + PREDECESSOR_FRESH_US;
+        control.onPredecessorFresh(clock.nowUs(), predecessorFreshUntilUs);
+        final boolean isSilent = clock.nowUs() > predecessorFreshUntilUs && clock.nowUs() - predecessorFreshUntilUs > PREDECESSOR_SILENT_US;
+        if (isSilent && !predecessorSilent) {
             Log.event(
                     "earlier_silent",
                     "msg",
                     "a predecessor process with calls in flight has recorded nothing for "
-                            + (clock.nowUs() - freshUntilUs + HEARD_FRESH_US) / US_PER_MS
+                            + (clock.nowUs() - predecessorFreshUntilUs + PREDECESSOR_FRESH_US) / US_PER_MS
                             + " ms; no calls are made where it has calls in flight");
-        } else if (silent && !now) {
+        } else if (predecessorSilent && !isSilent) {
             Log.event("earlier_heard", "msg", "the predecessor process records again, or has no calls in flight");
         }
-        silent = now;
+        predecessorSilent = isSilent;
     }
 
     /**
@@ -344,168 +344,168 @@
      */
     boolean mayWrite(final EndpointClient.Call call) {
         // An order applies as soon as it is in its file; the next pass may come later than this connection did.
-        heed();
-        if (call.items().isEmpty() || !mayWrite(call.items().get(0).open().held.destination)) {
+        applyOrders();
+        if (call.items().isEmpty() || !mayWrite(call.items().get(0).message().journaled.destination)) {
             return false;
         }
         // Checking may just have ended the call.
-        return call.items().stream().allMatch(parcel -> parcel.open().call == call && !isForgotten(parcel))
+        return call.items().stream().allMatch(item -> item.message().call == call && !isKeyExpired(item))
                 && isRecorded(call);
     }
 
     /** An attempt that is not in the journal would be forgotten after a restart. */
     private boolean isRecorded(final EndpointClient.Call call) {
         boolean recorded = true;
-        for (final Parcel parcel : call.items()) {
-            recorded &= journal.begin(parcel.open().held, clock.wallUs(), discovery.zone(call.endpoint()));
+        for (final CallItem item : call.items()) {
+            recorded &= journal.beginAttempt(item.message().journaled, clock.wallUs(), discovery.zone(call.endpoint()));
         }
         return recorded;
     }
 
     /** True if the message may have been executed so long ago that endpoints may have forgotten its key. */
-    private boolean isForgotten(final Parcel parcel) {
-        final Courier.MessageClass kind = parcel.open().kind;
-        final long firstRunWallUs = parcel.open().held.firstRunWallUs();
-        return kind.effect() == Courier.Effect.KEYED
-                && firstRunWallUs != Held.NEVER
-                && clock.wallUs() - firstRunWallUs >= KEY_SHARE * kind.keyWindowUs();
+    private boolean isKeyExpired(final CallItem item) {
+        final Courier.MessageClass messageClass = item.message().messageClass;
+        final long firstRunWallUs = item.message().journaled.firstExecutionWallUs();
+        return messageClass.effect() == Courier.Effect.KEYED
+                && firstRunWallUs != JournaledMessage.NEVER
+                && clock.wallUs() - firstRunWallUs >= KEY_WINDOW_SHARE * messageClass.keyWindowUs();
     }
 
     /** While a predecessor finishes its calls, reads once more what they reported. */
     private boolean mayWrite(final long destination) {
-        if (leaving) {
+        if (handingOver) {
             return false;
         }
         if (journal.hasPredecessors()) {
             followPredecessors();
         }
-        return journal.callsOutElsewhere(destination) == 0 || clock.nowUs() <= freshUntilUs;
+        return journal.predecessorCalls(destination) == 0 || clock.nowUs() <= predecessorFreshUntilUs;
     }
 
     /** Logs a requested wait while two processes are one courier. */
-    void waitTold(final long destination, final String dial, final long waitUs) {
-        if (leaving || journal.hasPredecessors()) {
+    void onWaitRequested(final long destination, final String dial, final long waitUs) {
+        if (handingOver || journal.hasPredecessors()) {
             Log.event("wait_told", "dest", destination, "dial", dial, "ms", waitUs / US_PER_MS);
         }
     }
 
     /** Descriptors available for calls. Two processes of one courier share them. */
     int descriptors() {
-        return journal.hasPredecessors() || leaving ? config.sockets() / 2 : config.sockets();
+        return journal.hasPredecessors() || handingOver ? config.sockets() / 2 : config.sockets();
     }
 
-    private void tell() {
-        if (messages.size() > PILE_SHARE * config.settings().limits().maxOpenMessages()) {
+    private void logStatus() {
+        if (messages.size() > STATUS_STORE_SHARE * config.settings().limits().maxOpenMessages()) {
             Log.info("longest decision pass " + longestPassUs / US_PER_MS + " ms; " + control.describe(clock.nowUs()));
         }
         longestPassUs = 0;
     }
 
     /** Resumes a message that an earlier process accepted. */
-    private void resume(final Held held) {
-        final Integer index = classes.get(held.className);
-        if (held.notice() != null) {
-            notices.add(held);
+    private void resume(final JournaledMessage journaled) {
+        final Integer index = classes.get(journaled.className);
+        if (journaled.notice() != null) {
+            noticeSender.add(journaled);
         } else if (index == null) {
-            end(new Open(held, null, 0, null), new Held.Notice(true, 0));
-        } else if (!messages.containsKey(held.id)) {
-            resume(held, index);
+            endWithNotice(new OpenMessage(journaled, null, 0, null), new JournaledMessage.Notice(true, 0));
+        } else if (!messages.containsKey(journaled.id)) {
+            resume(journaled, index);
         }
     }
 
-    private void resume(final Held held, final int index) {
-        final Open open =
-                new Open(held, config.settings().classes().get(index), clock.fromWallUs(held.validUntilWallUs), null);
-        final Courier.MessageHistory past = held.past(clock);
-        settle(held, false);
-        messages.put(held.id, open);
-        control.onResumed(clock.nowUs(), message(open, index), past);
+    private void resume(final JournaledMessage journaled, final int index) {
+        final OpenMessage message =
+                new OpenMessage(journaled, config.settings().classes().get(index), clock.fromWallUs(journaled.validUntilWallUs), null);
+        final Courier.MessageHistory history = journaled.history(clock);
+        recordOutcome(journaled, false);
+        messages.put(journaled.id, message);
+        control.onResumed(clock.nowUs(), toMessage(message, index), history);
     }
 
     /** Records the outcome of an attempt if one was begun. */
-    private void settle(final Held held, final boolean neverRan) {
-        if (held.isOut()) {
-            journal.settle(held, neverRan);
+    private void recordOutcome(final JournaledMessage journaled, final boolean neverExecuted) {
+        if (journaled.isInFlight()) {
+            journal.endAttempt(journaled, neverExecuted);
         }
     }
 
-    private static Courier.Message message(final Open open, final int index) {
-        return new Courier.Message(open.held.id, index, -1, null, open.validUntilUs, open.held.destination);
+    private static Courier.Message toMessage(final OpenMessage message, final int index) {
+        return new Courier.Message(message.journaled.id, index, -1, null, message.validUntilUs, message.journaled.destination);
     }
 
     // ---------------------------------------------------------------- events from the sockets
 
     /** The class of that name, or null. */
-    Courier.MessageClass kind(final String className) {
+    Courier.MessageClass messageClass(final String className) {
         final Integer index = classes.get(className);
         return index == null ? null : config.settings().classes().get(index);
     }
 
     /** True while a message of that id is open or its notice unconfirmed. */
-    boolean holds(final String id) {
-        return messages.containsKey(id) || journal.holds(id);
+    boolean isOpen(final String id) {
+        return messages.containsKey(id) || journal.isOpen(id);
     }
 
     /** False for a destination that, as far as is known, does not exist. */
-    boolean knows(final long destination) {
+    boolean isKnownDestination(final long destination) {
         return discovery.knows(destination);
     }
 
     /** Accepts a message if there is space; its answer follows at the end of the pass. */
-    void offer(final Held held, final long validUntilUs, final Reply reply) {
-        final int open = leaving ? journal.count() : messages.size() + untold.size();
-        if (open >= config.settings().limits().maxOpenMessages() || !journal.take(held)) {
-            reply.refused(ClientServer.UNAVAILABLE, FULL_RETRY_US);
+    void offer(final JournaledMessage journaled, final long validUntilUs, final Reply reply) {
+        final int openCount = handingOver ? journal.count() : messages.size() + unresumed.size();
+        if (openCount >= config.settings().limits().maxOpenMessages() || !journal.accept(journaled)) {
+            reply.refused(ClientServer.UNAVAILABLE, FULL_RETRY_AFTER_US);
             return;
         }
-        if (leaving) {
+        if (handingOver) {
             // The next process reads it from the journal and sends it.
             reply.accepted();
             return;
         }
-        take(held, validUntilUs, reply);
+        accept(journaled, validUntilUs, reply);
     }
 
-    private void take(final Held held, final long validUntilUs, final Reply reply) {
-        final int index = classes.get(held.className);
-        final Open open = new Open(held, config.settings().classes().get(index), validUntilUs, reply);
-        messages.put(held.id, open);
-        unanswered.add(open);
-        control.onMessage(clock.nowUs(), message(open, index));
-        touch();
+    private void accept(final JournaledMessage journaled, final long validUntilUs, final Reply reply) {
+        final int index = classes.get(journaled.className);
+        final OpenMessage message = new OpenMessage(journaled, config.settings().classes().get(index), validUntilUs, reply);
+        messages.put(journaled.id, message);
+        unanswered.add(message);
+        control.onMessage(clock.nowUs(), toMessage(message, index));
+        schedulePass();
     }
 
     /** The client left before it was answered, so nobody counts on this message. */
     void withdraw(final String id) {
-        final Open open = messages.get(id);
-        if (open != null) {
-            forget(open);
+        final OpenMessage message = messages.get(id);
+        if (message != null) {
+            complete(message);
             control.onWithdrawn(clock.nowUs(), id);
-            touch();
-        } else if (untold.remove(id) != null || leaving) {
-            journal.over(id);
+            schedulePass();
+        } else if (unresumed.remove(id) != null || handingOver) {
+            journal.complete(id);
         }
     }
 
     /** A valid list arrived from that address. It is stored for the next process. */
-    void told(final JsonNode list, final Courier.Update update, final InetSocketAddress from) {
-        knownList.update(list, update, from);
+    void storeList(final JsonNode list, final Courier.Update update, final InetSocketAddress from) {
+        storedList.update(list, update, from);
     }
 
     /** The list changed, or could not be fetched. */
-    void list(final Courier.Update update, final List<Courier.Endpoint> entries) {
-        confirmed = update != Courier.Update.RESTORED;
+    void onListUpdate(final Courier.Update update, final List<Courier.Endpoint> entries) {
+        listConfirmed = update != Courier.Update.RESTORED;
         control.onListUpdate(clock.nowUs(), update, entries);
-        unlisted.values().removeIf(memory -> {
-            final boolean named = discovery.hasEndpoint(memory.destination());
+        unlistedStates.values().removeIf(state -> {
+            final boolean named = discovery.hasEndpoint(state.destination());
             if (named) {
-                control.onPredecessorState(clock.nowUs(), memory.withCallsInFlight(journal.callsOutElsewhere(memory.destination())));
+                control.onPredecessorState(clock.nowUs(), state.withCallsInFlight(journal.predecessorCalls(state.destination())));
             }
             return named;
         });
-        heeded = null;
-        heed();
-        touch();
+        reportedOrders = null;
+        applyOrders();
+        schedulePass();
     }
 
     /** True if the list has ever named that endpoint to this process. Thread-safe. */
@@ -518,106 +518,106 @@
     }
 
     /** The outcome of one message's part in a call. */
-    void outcome(final Parcel parcel, final EndpointClient.Call call, final EndpointClient.MessageOutcome answer) {
-        final Open open = parcel.open();
-        open.call = null;
-        final boolean delivered = answer.result() == Courier.Result.DELIVERED;
-        final boolean ends = !open.over && (delivered || answer.isFinal());
-        final boolean goesOn = !open.over && !ends;
+    void onOutcome(final CallItem item, final EndpointClient.Call call, final EndpointClient.MessageOutcome outcome) {
+        final OpenMessage message = item.message();
+        message.call = null;
+        final boolean delivered = outcome.result() == Courier.Result.DELIVERED;
+        final boolean isFinal = !message.finished && (delivered || outcome.isFinal());
+        final boolean continues = !message.finished && !isFinal;
         control.onOutcome(
                 clock.nowUs(),
                 new Courier.Outcome(
-                        open.held.id,
-                        answer.result(),
-                        !goesOn,
+                        message.journaled.id,
+                        outcome.result(),
+                        !continues,
                         call.endpoint(),
                         clock.nowUs() - call.sentUs(),
-                        answer.waitUs(),
-                        answer.reportedLimit()));
-        if (leaving) {
+                        outcome.waitUs(),
+                        outcome.reportedLimit()));
+        if (handingOver) {
             // Records first what the outcome reported: once it is recorded, the next process may send the message.
-            leave(open);
+            handOver(message);
         }
-        if (ends) {
-            forget(open);
-        } else if (goesOn) {
-            settle(open.held, answer.result().neverExecuted());
+        if (isFinal) {
+            complete(message);
+        } else if (continues) {
+            recordOutcome(message.journaled, outcome.result().neverExecuted());
         }
-        touch();
+        schedulePass();
     }
 
     /** The platform has confirmed these notices. */
-    void noticed(final List<Held> confirmed) {
-        confirmed.forEach(journal::over);
+    void onNoticesConfirmed(final List<JournaledMessage> confirmed) {
+        confirmed.forEach(journal::complete);
     }
 
     // ---------------------------------------------------------------- decision pass
 
     /** Schedules a decision pass after everything that this turn of the event loop brought has been reported. */
-    private void touch() {
-        if (!passDue) {
-            passDue = true;
-            loop.execute(this::pass);
+    private void schedulePass() {
+        if (!passScheduled) {
+            passScheduled = true;
+            loop.execute(this::runPass);
         }
     }
 
-    private void pass() {
-        passDue = false;
+    private void runPass() {
+        passScheduled = false;
         final long fromUs = clock.nowUs();
         try {
-            if (!leaving) {
-                heed();
+            if (!handingOver) {
+                applyOrders();
                 control.decide(clock.nowUs());
             }
         } catch (final RuntimeException | Error e) {
             Log.failure("the decision pass failed", e);
         }
-        answer();
+        answerAccepted();
         outbox.forEach(this::sendAll);
         outbox.clear();
-        notices.flush();
+        noticeSender.flush();
         longestPassUs = Math.max(longestPassUs, clock.nowUs() - fromUs);
     }
 
-    private void lookUp() {
-        if (!leaving) {
-            heed();
-            readWallUs = turnWallUs;
-            turnWallUs = clock.wallUs();
+    private void checkOrders() {
+        if (!handingOver) {
+            applyOrders();
+            previousTurnWallUs = lastTurnWallUs;
+            lastTurnWallUs = clock.wallUs();
         }
     }
 
     /** Reports the disabled endpoints to the decisions whenever the orders or the list have changed. */
-    private void heed() {
-        final OperatorOrders.State standing = orders.current();
-        if (standing != heeded) {
-            heeded = standing;
-            final Set<Long> barred = discovery.idsOf(standing.disabledEndpoints());
-            control.onEndpointsDisabled(clock.nowUs(), barred);
-            barred.forEach(endpoints::stopUsing);
-            touch();
+    private void applyOrders() {
+        final OperatorOrders.State orderState = orders.current();
+        if (orderState != reportedOrders) {
+            reportedOrders = orderState;
+            final Set<Long> disabled = discovery.idsOf(orderState.disabledEndpoints());
+            control.onEndpointsDisabled(clock.nowUs(), disabled);
+            disabled.forEach(endpoints::stopUsing);
+            schedulePass();
         }
     }
 
     /** Accepts the messages that were offered and not ended in the same pass. */
-    private void answer() {
-        final List<Open> due = List.copyOf(unanswered);
+    private void answerAccepted() {
+        final List<OpenMessage> due = List.copyOf(unanswered);
         unanswered.clear();
-        for (final Open open : due) {
-            if (open.reply != null && !open.over) {
-                final Reply reply = open.reply;
-                open.reply = null;
+        for (final OpenMessage message : due) {
+            if (message.reply != null && !message.finished) {
+                final Reply reply = message.reply;
+                message.reply = null;
                 reply.accepted();
             }
         }
     }
 
-    private void sendAll(final long endpoint, final List<Parcel> parcels) {
-        final int most = Math.max(1, discovery.messagesPerCall(endpoint));
-        for (int from = 0; from < parcels.size(); from += most) {
-            final List<Parcel> some = parcels.subList(from, Math.min(parcels.size(), from + most));
-            final EndpointClient.Call call = endpoints.prepare(endpoint, some);
-            some.forEach(parcel -> parcel.open().call = call);
+    private void sendAll(final long endpoint, final List<CallItem> items) {
+        final int messagesPerCall = Math.max(1, discovery.messagesPerCall(endpoint));
+        for (int from = 0; from < items.size(); from += messagesPerCall) {
+            final List<CallItem> batch = items.subList(from, Math.min(items.size(), from + messagesPerCall));
+            final EndpointClient.Call call = endpoints.prepare(endpoint, batch);
+            batch.forEach(item -> item.message().call = call);
             endpoints.start(call);
         }
     }
@@ -626,62 +626,62 @@
 
     @Override
     public void send(final String messageId, final long endpoint, final long timeoutUs) {
-        final Open open = messages.get(messageId);
-        if (open != null) {
-            outbox.computeIfAbsent(endpoint, unused -> new ArrayList<>()).add(new Parcel(open, timeoutUs));
+        final OpenMessage message = messages.get(messageId);
+        if (message != null) {
+            outbox.computeIfAbsent(endpoint, unused -> new ArrayList<>()).add(new CallItem(message, timeoutUs));
         }
     }
 
     @Override
     public void refuse(final String messageId, final long retryAfterUs) {
-        final Open open = messages.get(messageId);
-        if (open == null) {
+        final OpenMessage message = messages.get(messageId);
+        if (message == null) {
             return;
         }
-        if (open.reply == null) {
-            end(open, new Held.Notice(false, retryAfterUs / US_PER_MS));
+        if (message.reply == null) {
+            endWithNotice(message, new JournaledMessage.Notice(false, retryAfterUs / US_PER_MS));
         } else {
-            final Reply reply = open.reply;
-            forget(open);
+            final Reply reply = message.reply;
+            complete(message);
             reply.refused(ClientServer.TOO_MANY_REQUESTS, retryAfterUs);
         }
     }
 
     @Override
     public void fail(final String messageId) {
-        final Open open = messages.get(messageId);
-        if (open == null) {
+        final OpenMessage message = messages.get(messageId);
+        if (message == null) {
             return;
         }
-        if (open.reply == null) {
-            end(open, new Held.Notice(true, 0));
+        if (message.reply == null) {
+            endWithNotice(message, new JournaledMessage.Notice(true, 0));
         } else {
-            final Reply reply = open.reply;
-            forget(open);
+            final Reply reply = message.reply;
+            complete(message);
             reply.failed();
         }
     }
 
     /** Ends an accepted message with a notice. The journal holds the notice until it is confirmed. */
-    private void end(final Open open, final Held.Notice notice) {
-        open.over = true;
-        messages.remove(open.held.id);
-        journal.owe(open.held, notice);
-        notices.add(open.held);
+    private void endWithNotice(final OpenMessage message, final JournaledMessage.Notice notice) {
+        message.finished = true;
+        messages.remove(message.journaled.id);
+        journal.recordNotice(message.journaled, notice);
+        noticeSender.add(message.journaled);
     }
 
-    private void forget(final Open open) {
-        open.over = true;
-        open.reply = null;
-        messages.remove(open.held.id);
-        journal.over(open.held);
+    private void complete(final OpenMessage message) {
+        message.finished = true;
+        message.reply = null;
+        messages.remove(message.journaled.id);
+        journal.complete(message.journaled);
     }
 
     @Override
     public void cancel(final String messageId, final int attempt) {
-        final Open open = messages.get(messageId);
-        if (open != null && open.call != null) {
-            final EndpointClient.Call call = open.call;
+        final OpenMessage message = messages.get(messageId);
+        if (message != null && message.call != null) {
+            final EndpointClient.Call call = message.call;
             loop.execute(() -> endpoints.abandon(call, Courier.Result.CANCELLED));
         }
     }
@@ -698,49 +698,49 @@
 
     @Override
     public void wake(final long delayUs) {
-        loop.schedule(this::touch, delayUs, TimeUnit.MICROSECONDS);
+        loop.schedule(this::schedulePass, delayUs, TimeUnit.MICROSECONDS);
     }
 
     // ---------------------------------------------------------------- new configuration
 
     /** Applies a new configuration: switches to its discovery at once; everything else applies from the next start. */
     void reload(final Config fresh) {
-        final boolean same =
+        final boolean onlyDiscovery =
                 fresh.settings().equals(config.settings()) && fresh.listen().equals(config.listen());
         Log.info("SIGHUP: discovery is at " + fresh.discovery()
-                + (same ? "" : "; other changes of the configuration apply from the next start"));
-        discoveryAt = fresh.discovery();
+                + (onlyDiscovery ? "" : "; other changes of the configuration apply from the next start"));
+        discoveryAddress = fresh.discovery();
         discovery.switchTo(fresh.discovery());
-        notices.switchTo(fresh.discovery());
+        noticeSender.switchTo(fresh.discovery());
     }
 
     // ---------------------------------------------------------------- end of the process
 
     /** This process ends at that time: no call begins that cannot finish by then. */
-    void stopping(final long stopUs) {
-        part(true);
+    void stopAt(final long stopUs) {
+        leaveFleet(true);
         control.onStopping(clock.nowUs(), stopUs);
-        touch();
+        schedulePass();
     }
 
     /**
      * Hands over to another process: nothing more is decided or begun here. Messages without a call in flight belong to
      * the successor from now on; the outcomes of the others go into the journal, which the successor reads.
      */
-    void leave() {
-        leaving = true;
-        knownList.stopStoring();
-        part(false);
-        pass();
+    void handOver() {
+        handingOver = true;
+        storedList.stopStoring();
+        leaveFleet(false);
+        runPass();
         // Written later, such a call could violate a wait that only the successor knows.
         endpoints.giveBackAllUnwritten();
-        messages.values().removeIf(open -> open.call == null);
-        untold.values().forEach(held -> settle(held, false));
-        untold.clear();
-        journal.leave(memories());
-        journal.heard(readWallUs);
-        readWallUs = clock.wallUs();
-        loop.schedule(this::heard, HEARD_MS, TimeUnit.MILLISECONDS);
+        messages.values().removeIf(message -> message.call == null);
+        unresumed.values().forEach(journaled -> recordOutcome(journaled, false));
+        unresumed.clear();
+        journal.handOver(exportState());
+        journal.recordProgress(previousTurnWallUs);
+        previousTurnWallUs = clock.wallUs();
+        loop.schedule(this::recordProgress, RECORDED_UNTIL_MS, TimeUnit.MILLISECONDS);
         endpoints.closeAllIdle();
     }
 
@@ -748,11 +748,11 @@
      * Records the time up to which all outcomes are recorded: the event loop has read each connection since this last
      * ran, and not yet in this turn.
      */
-    private void heard() {
+    private void recordProgress() {
         if (endpoints.hasCallsInFlight()) {
-            journal.heard(readWallUs);
-            readWallUs = clock.wallUs();
-            loop.schedule(this::heard, HEARD_MS, TimeUnit.MILLISECONDS);
+            journal.recordProgress(previousTurnWallUs);
+            previousTurnWallUs = clock.wallUs();
+            loop.schedule(this::recordProgress, RECORDED_UNTIL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -760,30 +760,30 @@
      * The outcome of a message's call is known: the successor continues with it, with the latest state of the
      * destination.
      */
-    private void leave(final Open open) {
-        messages.remove(open.held.id);
-        memories().stream()
-                .filter(memory -> memory.destination() == open.held.destination)
-                .forEach(journal::remember);
+    private void handOver(final OpenMessage message) {
+        messages.remove(message.journaled.id);
+        exportState().stream()
+                .filter(state -> state.destination() == message.journaled.destination)
+                .forEach(journal::recordState);
     }
 
     /**
      * The process ends now. Its connections would stay open with unread answers until it has exited, so the remaining
      * calls are ended first, as possibly executed. The successor then takes them over and knows that none is in flight.
      */
-    void cutOff() {
+    void endRemainingCalls() {
         endpoints.abandonAll();
     }
 
-    private List<Courier.DestinationState> memories() {
+    private List<Courier.DestinationState> exportState() {
         final long aheadUs = clock.wallUs() - clock.nowUs();
         return control.exportState().stream()
-                .map(memory -> memory.onClock(aheadUs))
+                .map(state -> state.onClock(aheadUs))
                 .toList();
     }
 
     /** True if nothing is in progress that the end of the process would cut off. */
-    boolean idle() {
-        return messages.isEmpty() && untold.isEmpty() && notices.isEmpty();
+    boolean isIdle() {
+        return messages.isEmpty() && unresumed.isEmpty() && noticeSender.isEmpty();
     }
 }
--- a/src/main/java/driftchute/node/Discovery.java
+++ b/src/main/java/driftchute/node/Discovery.java
@@ -27,7 +27,7 @@
 
     private final Config config;
     private final Clock clock;
-    private final Host host;
+    private final DeliveryService host;
     private final ListWatcher watcher;
     /**
      * The latest entry of every endpoint that was ever listed. An endpoint that is listed again is the same one, with
@@ -40,7 +40,7 @@
     /** When each destination last had an endpoint. It may have none for a while between two endpoints. */
     private final Map<Long, Long> destinationSeenUs = new HashMap<>();
 
-    Discovery(final Config config, final EventLoop loop, final Clock clock, final Host host) {
+    Discovery(final Config config, final EventLoop loop, final Clock clock, final DeliveryService host) {
         this.config = config;
         this.clock = clock;
         this.host = host;
@@ -113,12 +113,12 @@
 
     @Override
     public void onUnchanged() {
-        host.list(Courier.Update.CHANGES, List.of());
+        host.onListUpdate(Courier.Update.CHANGES, List.of());
     }
 
     @Override
     public void onLost() {
-        host.list(Courier.Update.LOST, List.of());
+        host.onListUpdate(Courier.Update.LOST, List.of());
     }
 
     private void apply(final JsonNode list, final Courier.Update update, final InetSocketAddress from) {
@@ -142,7 +142,7 @@
                     && config.settings().destinationKinds().get(endpoint.kind()).separateRoutes();
             host.endpoints().onListed(endpoint, separateRoute, entry.dial());
         }
-        host.told(list, update, from);
+        host.storeList(list, update, from);
         Log.event(
                 "list",
                 "update",
@@ -157,7 +157,7 @@
                 describeUnready(list),
                 "from",
                 String.valueOf(from));
-        host.list(update, entries.stream().map(ListEntry::endpoint).toList());
+        host.onListUpdate(update, entries.stream().map(ListEntry::endpoint).toList());
         gone.forEach(this::forget);
         final long nowUs = clock.nowUs();
         listed.values().forEach(entry -> destinationSeenUs.put(entry.destination(), nowUs));
@@ -187,7 +187,7 @@
                 endpoint,
                 endpoint.condition() == Courier.Condition.GONE
                         ? null
-                        : Config.remote("dial", node.path("dial").asText()));
+                        : Config.remoteAddress("dial", node.path("dial").asText()));
     }
 
     private Courier.Endpoint endpoint(final JsonNode node) {
--- a/src/main/java/driftchute/node/EndpointClient.java
+++ b/src/main/java/driftchute/node/EndpointClient.java
@@ -50,7 +50,7 @@
 
 /**
  * Makes calls to endpoints, with one or several messages each, over kept connections that carry one call at a time.
- * Reports to the {@link Host} what became of each message, in particular whether it may have been executed: this
+ * Reports to the {@link DeliveryService} what became of each message, in particular whether it may have been executed: this
  * depends on whether the call's last byte was written before the connection broke.
  */
 final class EndpointClient {
@@ -100,7 +100,7 @@
 
     private final Clock clock;
     private final EventLoop loop;
-    private final Host host;
+    private final DeliveryService host;
     private final Bootstrap bootstrap;
     private final ObjectMapper json = new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
     private final long idleTimeoutUs;
@@ -113,7 +113,7 @@
     /** The outcome of a message's part in a call. {@code waitUs}: the wait that the answer asked for, or 0. */
     record MessageOutcome(Result result, boolean isFinal, long waitUs, Courier.ReportedLimit reportedLimit) {}
 
-    EndpointClient(final Config config, final EventLoop loop, final Clock clock, final Host host) {
+    EndpointClient(final Config config, final EventLoop loop, final Clock clock, final DeliveryService host) {
         this.clock = clock;
         this.loop = loop;
         this.host = host;
@@ -172,7 +172,7 @@
         private final long endpoint;
         private final long sentUs;
         private final long deadlineUs;
-        private final List<Host.Parcel> items;
+        private final List<DeliveryService.CallItem> items;
         /** Timers of the call: time-outs, and the end of a connection's rest. */
         private final List<Future<?>> timers = new ArrayList<>();
 
@@ -181,7 +181,7 @@
         private boolean started;
         private boolean written;
 
-        Call(final ConnectionPool pool, final long endpoint, final List<Host.Parcel> items, final long sentUs) {
+        Call(final ConnectionPool pool, final long endpoint, final List<DeliveryService.CallItem> items, final long sentUs) {
             this.pool = pool;
             this.endpoint = endpoint;
             this.items = List.copyOf(items);
@@ -189,11 +189,11 @@
             this.deadlineUs = Math.min(
                     sentUs
                             + items.stream()
-                                    .mapToLong(Host.Parcel::timeoutUs)
+                                    .mapToLong(DeliveryService.CallItem::timeoutUs)
                                     .max()
                                     .orElse(0),
                     items.stream()
-                            .mapToLong(item -> item.open().validUntilUs)
+                            .mapToLong(item -> item.message().validUntilUs)
                             .min()
                             .orElse(sentUs));
         }
@@ -206,15 +206,15 @@
             return sentUs;
         }
 
-        List<Host.Parcel> items() {
+        List<DeliveryService.CallItem> items() {
             return items;
         }
 
         /** True if none of its messages has a recorded attempt, so that waiting costs nothing but time. */
         private boolean isUntried() {
             return items.stream()
-                    .map(item -> item.open().held)
-                    .allMatch(held -> held.firstRunWallUs() == Held.NEVER && !held.isOut());
+                    .map(item -> item.message().journaled)
+                    .allMatch(held -> held.firstExecutionWallUs() == JournaledMessage.NEVER && !held.isInFlight());
         }
 
         private boolean hasSeveralMessages() {
@@ -295,7 +295,7 @@
     // ---------------------------------------------------------------- calls
 
     /** Creates a call that has not begun, so that it can be journaled first. */
-    Call prepare(final long endpoint, final List<Host.Parcel> items) {
+    Call prepare(final long endpoint, final List<DeliveryService.CallItem> items) {
         return new Call(pools.get(endpoint), endpoint, items, clock.nowUs());
     }
 
@@ -427,7 +427,7 @@
     }
 
     private void reportOutcome(final Call call, final MessageOutcome answer) {
-        call.items.forEach(item -> host.outcome(item, call, answer));
+        call.items.forEach(item -> host.onOutcome(item, call, answer));
     }
 
     /** A predecessor process was asked to wait there: unwritten calls may not be sent. */
@@ -438,7 +438,7 @@
     /** If a call's answer asked for a wait (above 0), unwritten calls that it applies to may not be sent. */
     private void applyWait(final Call call, final long waitUs) {
         if (waitUs > 0) {
-            host.waitTold(call.pool.destination, String.valueOf(call.pool.address), waitUs);
+            host.onWaitRequested(call.pool.destination, String.valueOf(call.pool.address), waitUs);
             giveBackUnwritten(call.pool);
         }
     }
@@ -704,10 +704,10 @@
                 states.clear();
             }
             final long nowUs = clock.nowUs();
-            final boolean late = done.items.stream().anyMatch(item -> item.open().validUntilUs <= nowUs);
-            for (final Host.Parcel item : done.items) {
+            final boolean late = done.items.stream().anyMatch(item -> item.message().validUntilUs <= nowUs);
+            for (final DeliveryService.CallItem item : done.items) {
                 final MessageOutcome outcome =
-                        switch (states.getOrDefault(item.open().held.id, UNKNOWN_STATE)) {
+                        switch (states.getOrDefault(item.message().journaled.id, UNKNOWN_STATE)) {
                             case "accepted" ->
                                 new MessageOutcome(
                                         late ? Result.TIMED_OUT : Result.DELIVERED,
@@ -719,7 +719,7 @@
                             case "no_more" -> new MessageOutcome(Result.NOT_SENT, false, whole.waitUs(), whole.reportedLimit());
                             default -> new MessageOutcome(Result.ERROR, false, whole.waitUs(), whole.reportedLimit());
                         };
-                host.outcome(item, done, outcome);
+                host.onOutcome(item, done, outcome);
             }
         }
 
@@ -741,7 +741,7 @@
 
     private FullHttpRequest request(final Call call) {
         final byte[] body =
-                call.hasSeveralMessages() ? bulkBody(call) : call.items.get(0).open().held.body();
+                call.hasSeveralMessages() ? bulkBody(call) : call.items.get(0).message().journaled.body();
         final FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.POST,
@@ -753,7 +753,7 @@
         if (call.hasSeveralMessages()) {
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
         } else {
-            final Held held = call.items.get(0).open().held;
+            final JournaledMessage held = call.items.get(0).message().journaled;
             request.headers().set("X-Request-ID", held.id);
             if (held.idempotencyKey != null) {
                 request.headers().set("Idempotency-Key", held.idempotencyKey);
@@ -764,8 +764,8 @@
 
     private byte[] bulkBody(final Call call) {
         final ArrayNode items = json.createArrayNode();
-        for (final Host.Parcel item : call.items) {
-            final Held held = item.open().held;
+        for (final DeliveryService.CallItem item : call.items) {
+            final JournaledMessage held = item.message().journaled;
             final ObjectNode entry = items.addObject().put("id", held.id);
             if (held.idempotencyKey != null) {
                 entry.put("key", held.idempotencyKey);
--- a/src/main/java/driftchute/node/Handover.java
+++ b/src/main/java/driftchute/node/HandoverLocks.java
@@ -8,49 +8,49 @@
  * Decides which of a courier's processes serves and which stands by, by two file locks. A lock ends with its process,
  * so that a process that dies at any moment blocks nobody.
  */
-final class Handover {
-    private final Lock serving;
-    private final Lock standby;
+final class HandoverLocks {
+    private final ProcessLock serving;
+    private final ProcessLock standby;
 
-    Handover(final Path folder) throws IOException {
+    HandoverLocks(final Path folder) throws IOException {
         Files.createDirectories(folder);
-        this.serving = new Lock(folder.resolve("serving.lock"));
-        this.standby = new Lock(folder.resolve("standby.lock"));
+        this.serving = new ProcessLock(folder.resolve("serving.lock"));
+        this.standby = new ProcessLock(folder.resolve("standby.lock"));
     }
 
     /** Becomes the serving process if there is none. */
-    boolean serve() throws IOException {
-        return serving.take();
+    boolean tryServe() throws IOException {
+        return serving.tryLock();
     }
 
     /** Becomes the stand-by process if there is none. */
-    boolean standBy() throws IOException {
-        return standby.take();
+    boolean tryStandBy() throws IOException {
+        return standby.tryLock();
     }
 
     /** This process listens and sends now, so its predecessor may stop listening. */
-    void served() throws IOException {
+    void releaseStandBy() throws IOException {
         standby.release();
     }
 
     /** True if another process stands by. */
-    boolean hasNext() throws IOException {
-        return standby.isTaken();
+    boolean hasSuccessor() throws IOException {
+        return standby.isHeldByOther();
     }
 
     /** This process records and sends nothing more, so its successor may. */
-    void letGo() throws IOException {
+    void releaseServing() throws IOException {
         serving.release();
     }
 
     /** This process ends before it has served, so another may serve or stand by. */
-    void withdraw() throws IOException {
+    void releaseAll() throws IOException {
         serving.release();
         standby.release();
     }
 
     /** True once the successor serves and listens. */
-    boolean isDone() throws IOException {
-        return !standby.isTaken() && serving.isTaken();
+    boolean isSuccessorServing() throws IOException {
+        return !standby.isHeldByOther() && serving.isHeldByOther();
     }
 }
--- a/src/main/java/driftchute/node/Hangup.java
+++ b/src/main/java/driftchute/node/HangupSignal.java
@@ -6,8 +6,8 @@
  * Runs a task on SIGHUP, which would otherwise end the process. The JDK's signal class is used by reflection: it is
  * supported, but the compiler's warning about it cannot be suppressed where warnings are errors.
  */
-final class Hangup {
-    private Hangup() {}
+final class HangupSignal {
+    private HangupSignal() {}
 
     /** Runs the task on each SIGHUP, on a separate thread. */
     static void onSignal(final Runnable task) {
--- a/src/main/java/driftchute/node/Journal.java
+++ b/src/main/java/driftchute/node/Journal.java
@@ -31,10 +31,10 @@
  */
 final class Journal implements AutoCloseable {
     private static final String FILE = "journal";
-    private static final String NEXT = ".next";
-    private static final String BAD = ".bad";
+    private static final String NEXT_SUFFIX = ".next";
+    private static final String BAD_SUFFIX = ".bad";
     /** Disk usage is counted in blocks of this many bytes (DEPLOY-irishead.md). */
-    private static final long BLOCK = 512;
+    private static final long BLOCK_BYTES = 512;
 
     private static final int HEAD_BYTES = 2 * Integer.BYTES;
     /** Maximum number of journal files. An upgrade needs two, and another one directly after it a third. */
@@ -42,61 +42,61 @@
     /** Share of the disk for one file. With the file that replaces it, at most four fifths are used. */
     private static final double FILE_SHARE = 0.4;
     /** The same for an ending process while its successor writes its own file. */
-    private static final double LEAVING_SHARE = 0.3;
+    private static final double HANDOVER_FILE_SHARE = 0.3;
     /**
      * Share of a file that accepted messages may use. The rest is for the records about them, which must always fit.
      */
-    private static final double TAKE_SHARE = 0.6;
+    private static final double MESSAGE_SHARE = 0.6;
     /** Space reserved for the attempts and the notice of a message, bytes. Attempts are few and short. */
-    private static final int FATE_BYTES = 256;
+    private static final int RESERVED_BYTES = 256;
 
-    private static final int RECORDS = 3;
+    private static final int RECORDS_PER_MESSAGE = 3;
 
-    static final byte TAKEN = 1;
-    static final byte BEGUN = 2;
-    static final byte SETTLED = 3;
-    static final byte OWED = 4;
-    static final byte OVER = 5;
-    static final byte MEMORY = 6;
+    static final byte ACCEPTED = 1;
+    static final byte ATTEMPT_BEGUN = 2;
+    static final byte ATTEMPT_ENDED = 3;
+    static final byte NOTICE_DUE = 4;
+    static final byte COMPLETED = 5;
+    static final byte DESTINATION_STATE = 6;
     /**
      * The first record of a file since format 2, which holds the format. Code of format 1 skips it, like every record
      * of an unknown id, so the previous release can read these files.
      */
     static final byte HEADER = 7;
     /** Time up to which an ending process has recorded the outcomes of all its calls. Older code skips it as well. */
-    static final byte HEARD = 8;
+    static final byte RECORDED_UNTIL = 8;
     /** The format that this code writes, and the latest that it reads. */
     static final int VERSION = 2;
 
     private final Path folder;
     private final long diskBytes;
-    private final Map<String, Held> live = new LinkedHashMap<>();
-    private final List<Predecessor> predecessors = new ArrayList<>();
+    private final Map<String, JournaledMessage> open = new LinkedHashMap<>();
+    private final List<PredecessorJournal> predecessors = new ArrayList<>();
     /** Messages completed here while a predecessor's file may still contain them. */
-    private final Set<String> ended = new HashSet<>();
+    private final Set<String> completed = new HashSet<>();
 
     private Path path;
-    private Lock lock;
-    private long fileBytes;
+    private ProcessLock lock;
+    private long maxFileBytes;
     private FileChannel file;
     /**
      * A spare descriptor for the file of a compaction: clients and calls may be using all others, and what cannot be
      * recorded can be neither accepted nor tried. It holds the folder open; null if none was available.
      */
-    private FileChannel spare;
+    private FileChannel spareDescriptor;
 
-    private long size;
-    private long liveBytes;
+    private long fileSize;
+    private long openBytes;
     /** A record could not be written. The file is incomplete until it is rewritten. */
-    private boolean behind;
+    private boolean incomplete;
     /** The successor reads this file. */
-    private boolean leaving;
+    private boolean handingOver;
 
     /** Creates a journal without opening it. No file is touched. */
     Journal(final Path folder, final long diskBytes) {
         this.folder = folder;
         this.diskBytes = diskBytes;
-        this.fileBytes = (long) (FILE_SHARE * diskBytes);
+        this.maxFileBytes = (long) (FILE_SHARE * diskBytes);
     }
 
     /** Opens or creates the journal of a folder and reads the open messages. */
@@ -111,12 +111,12 @@
         Files.createDirectories(folder);
         for (int number = 0; number < MAX_FILES; number++) {
             final Path next = numbered(number);
-            final Lock nextLock = new Lock(folder.resolve(next.getFileName() + ".lock"));
-            if (path == null && nextLock.take()) {
+            final ProcessLock nextLock = new ProcessLock(folder.resolve(next.getFileName() + ".lock"));
+            if (path == null && nextLock.tryLock()) {
                 path = next;
                 lock = nextLock;
             } else if (Files.exists(next)) {
-                predecessors.add(new Predecessor(next, nextLock));
+                predecessors.add(new PredecessorJournal(next, nextLock));
             } else {
                 nextLock.close();
             }
@@ -136,7 +136,7 @@
         }
         file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         load();
-        keepSpare();
+        reserveDescriptor();
     }
 
     private Path numbered(final int number) {
@@ -157,15 +157,15 @@
      * Copies what follows a record that failed its check to {@code journal.bad} for the operators, as far as the
      * folder's limit allows beside the file of a compaction. Returns the copy's name, or why there is none.
      */
-    private String keepBad(final long from, final long dropped) {
+    private String copyBadRecords(final long from, final long dropped) {
         try {
             long used = 0;
             try (var files = Files.list(folder)) {
                 for (final Path one : (Iterable<Path>) files::iterator) {
-                    used += (Files.size(one) + BLOCK - 1) / BLOCK * BLOCK;
+                    used += (Files.size(one) + BLOCK_BYTES - 1) / BLOCK_BYTES * BLOCK_BYTES;
                 }
             }
-            final long room = (diskBytes - used - fileBytes) / BLOCK * BLOCK;
+            final long room = (diskBytes - used - maxFileBytes) / BLOCK_BYTES * BLOCK_BYTES;
             final long bytes = Math.min(dropped, room);
             if (bytes <= 0) {
                 return "none: no space within disk_mb";
@@ -175,8 +175,8 @@
                 continue;
             }
             bad.flip();
-            Files.write(folder.resolve(FILE + BAD), java.util.Arrays.copyOf(bad.array(), bad.limit()));
-            return FILE + BAD + (bytes < dropped ? " (first " + bytes + " bytes)" : "");
+            Files.write(folder.resolve(FILE + BAD_SUFFIX), java.util.Arrays.copyOf(bad.array(), bad.limit()));
+            return FILE + BAD_SUFFIX + (bytes < dropped ? " (first " + bytes + " bytes)" : "");
         } catch (final IOException e) {
             return "none: " + e.getMessage();
         }
@@ -187,17 +187,17 @@
     }
 
     private static Path nextOf(final Path journal) {
-        return journal.resolveSibling(journal.getFileName() + NEXT);
+        return journal.resolveSibling(journal.getFileName() + NEXT_SUFFIX);
     }
 
     private void load() throws IOException {
         final JournalReader reader = new JournalReader(file);
         reader.read();
-        size = reader.position();
+        fileSize = reader.position();
         // A kill during a write leaves a partial record. Nothing was answered or sent because of it.
-        if (size < file.size()) {
-            final long dropped = file.size() - size;
-            final String copy = reader.tail() == JournalReader.Tail.TORN ? "none" : keepBad(size, dropped);
+        if (fileSize < file.size()) {
+            final long dropped = file.size() - fileSize;
+            final String copy = reader.tail() == JournalReader.Tail.TORN ? "none" : copyBadRecords(fileSize, dropped);
             Log.event(
                     "journal_recovered",
                     "file",
@@ -205,23 +205,23 @@
                     "records",
                     reader.records(),
                     "kept_bytes",
-                    size,
+                    fileSize,
                     "dropped_bytes",
                     dropped,
                     "reason",
                     reader.tail().name().toLowerCase(java.util.Locale.ROOT),
                     "copy",
                     copy);
-            file.truncate(size);
+            file.truncate(fileSize);
         }
-        if (size == 0) {
+        if (fileSize == 0) {
             write(file, header(), 0);
-            size = file.size();
+            fileSize = file.size();
         }
-        live.putAll(reader.live());
-        liveBytes = live.values().stream().mapToLong(Journal::bytes).sum();
+        open.putAll(reader.openMessages());
+        openBytes = open.values().stream().mapToLong(Journal::bytes).sum();
         if (!predecessors.isEmpty()) {
-            ended.addAll(reader.ended());
+            completed.addAll(reader.completed());
         }
     }
 
@@ -231,7 +231,7 @@
      * News from the files of earlier processes. {@code mine}: messages that this process has taken over. {@code over}:
      * messages of this process that were completed there. {@code memories}: destination states.
      */
-    record News(List<Held> mine, List<String> over, List<Courier.DestinationState> memories) {}
+    record PredecessorUpdate(List<JournaledMessage> takenOver, List<String> completed, List<Courier.DestinationState> states) {}
 
     /** True while an earlier process may still be running, or its file is not completely taken over. */
     boolean hasPredecessors() {
@@ -239,9 +239,9 @@
     }
 
     /** Calls that earlier processes still have in flight at a destination. */
-    int callsOutElsewhere(final long destination) {
+    int predecessorCalls(final long destination) {
         return predecessors.stream()
-                .mapToInt(predecessor -> predecessor.callsOut(destination))
+                .mapToInt(predecessor -> predecessor.callsInFlight(destination))
                 .sum();
     }
 
@@ -249,19 +249,19 @@
      * Time up to which all answers to the calls of earlier processes are known, Unix us; {@code Long.MAX_VALUE} if they
      * have none in flight.
      */
-    long heardWallUs() {
-        return predecessors.stream().mapToLong(Predecessor::heardWallUs).min().orElse(Long.MAX_VALUE);
+    long recordedUntilWallUs() {
+        return predecessors.stream().mapToLong(PredecessorJournal::recordedUntilWallUs).min().orElse(Long.MAX_VALUE);
     }
 
     /** Reads more of the files of earlier processes, and records the messages taken over from them. */
-    News poll() {
-        final News news = new News(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
-        for (final Predecessor predecessor : List.copyOf(predecessors)) {
+    PredecessorUpdate pollPredecessors() {
+        final PredecessorUpdate update = new PredecessorUpdate(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+        for (final PredecessorJournal predecessor : List.copyOf(predecessors)) {
             try {
                 if (predecessor.poll()) {
-                    takeUp(predecessor, news);
+                    takeOver(predecessor, update);
                 }
-                if (predecessor.isGone() && !behind) {
+                if (predecessor.isGone() && !incomplete) {
                     predecessor.remove();
                     predecessors.remove(predecessor);
                     removeUnfinished();
@@ -271,180 +271,180 @@
             }
         }
         if (predecessors.isEmpty()) {
-            ended.clear();
+            completed.clear();
         }
-        return news;
+        return update;
     }
 
-    private void takeUp(final Predecessor predecessor, final News news) {
+    private void takeOver(final PredecessorJournal predecessor, final PredecessorUpdate update) {
         final JournalReader reader = predecessor.reader();
-        for (final Courier.DestinationState memory : predecessor.takeMemories()) {
-            news.memories().add(memory.withCallsInFlight(callsOutElsewhere(memory.destination())));
+        for (final Courier.DestinationState state : predecessor.takeStates()) {
+            update.states().add(state.withCallsInFlight(predecessorCalls(state.destination())));
         }
-        for (final Held held : reader.live().values()) {
-            final Held own = live.get(held.id);
+        for (final JournaledMessage message : reader.openMessages().values()) {
+            final JournaledMessage ownCopy = open.get(message.id);
             // A message with a call in flight belongs to the earlier process until that has ended the call or is gone.
-            final boolean free = !held.isOut() || predecessor.isGone();
-            if (free && !ended.contains(held.id) && (own == null || held != own && held.isAheadOf(own))) {
-                adopt(held);
-                news.mine().add(held);
+            final boolean free = !message.isInFlight() || predecessor.isGone();
+            if (free && !completed.contains(message.id) && (ownCopy == null || message != ownCopy && message.isAheadOf(ownCopy))) {
+                adopt(message);
+                update.takenOver().add(message);
             }
         }
-        live.keySet().stream().filter(reader.ended()::contains).forEach(news.over()::add);
-        ended.addAll(reader.ended());
+        open.keySet().stream().filter(reader.completed()::contains).forEach(update.completed()::add);
+        completed.addAll(reader.completed());
     }
 
     /** Records a message of an earlier process as this process's, with its attempts. It cannot be refused. */
-    private void adopt(final Held held) {
-        final Held before = live.put(held.id, held);
-        liveBytes += bytes(held) - (before == null ? 0 : bytes(before));
-        records(held).forEach(this::append);
+    private void adopt(final JournaledMessage message) {
+        final JournaledMessage before = open.put(message.id, message);
+        openBytes += bytes(message) - (before == null ? 0 : bytes(before));
+        records(message).forEach(this::append);
     }
 
     /**
      * Prepares the handover: this process only finishes its calls, and its successor reads the open messages from a
      * compacted file.
      */
-    void leave(final List<Courier.DestinationState> memories) {
+    void handOver(final List<Courier.DestinationState> states) {
         try {
             compact();
         } catch (final IOException e) {
             Log.info("journal: cannot be rewritten: " + e.getMessage());
         }
         // From here on the successor reads this very file. It is appended to, but not rewritten.
-        leaving = true;
-        fileBytes = (long) (LEAVING_SHARE * diskBytes);
-        memories.forEach(this::remember);
+        handingOver = true;
+        maxFileBytes = (long) (HANDOVER_FILE_SHARE * diskBytes);
+        states.forEach(this::recordState);
     }
 
     /** Records for the successor the time up to which the outcomes of all calls are recorded. */
-    void heard(final long wallUs) {
-        append(record(HEARD, "", out -> out.writeLong(wallUs)));
+    void recordProgress(final long wallUs) {
+        append(record(RECORDED_UNTIL, "", out -> out.writeLong(wallUs)));
     }
 
     /** Records the state of a destination for the successor. */
-    void remember(final Courier.DestinationState memory) {
-        append(record(MEMORY, "", out -> {
-            out.writeLong(memory.destination());
-            out.writeInt(memory.callsInFlight());
-            out.writeInt(memory.circuit().ordinal());
-            out.writeLong(memory.waitUntilUs());
-            out.writeLong(memory.pauseUntilUs());
-            out.writeLong(memory.troubleSinceUs());
-            out.writeLong(memory.slowStartSinceUs());
-            out.writeDouble(memory.slowStartIntervalUs());
-            out.writeDouble(memory.window());
-            out.writeDouble(memory.messageRate());
-            out.writeDouble(memory.callRate());
-            out.writeDouble(memory.limit());
-            out.writeDouble(memory.unusedShare());
-            out.writeDouble(memory.maxSendRate());
-            out.writeDouble(memory.pace());
+    void recordState(final Courier.DestinationState state) {
+        append(record(DESTINATION_STATE, "", out -> {
+            out.writeLong(state.destination());
+            out.writeInt(state.callsInFlight());
+            out.writeInt(state.circuit().ordinal());
+            out.writeLong(state.waitUntilUs());
+            out.writeLong(state.pauseUntilUs());
+            out.writeLong(state.troubleSinceUs());
+            out.writeLong(state.slowStartSinceUs());
+            out.writeDouble(state.slowStartIntervalUs());
+            out.writeDouble(state.window());
+            out.writeDouble(state.messageRate());
+            out.writeDouble(state.callRate());
+            out.writeDouble(state.limit());
+            out.writeDouble(state.unusedShare());
+            out.writeDouble(state.maxSendRate());
+            out.writeDouble(state.pace());
         }));
     }
 
     // ---------------------------------------------------------------- records of messages
 
     /** The open messages and unconfirmed notices, in the order of acceptance. */
-    Collection<Held> live() {
-        return List.copyOf(live.values());
+    Collection<JournaledMessage> openMessages() {
+        return List.copyOf(open.values());
     }
 
     /** Number of open messages and unconfirmed notices. */
     int count() {
-        return live.size();
+        return open.size();
     }
 
     /**
      * True while a message of that id is open or its notice unconfirmed, here or in an earlier process that has its
      * call in flight.
      */
-    boolean holds(final String id) {
-        return live.containsKey(id) || predecessors.stream().anyMatch(predecessor -> predecessor.holds(id));
+    boolean isOpen(final String id) {
+        return open.containsKey(id) || predecessors.stream().anyMatch(predecessor -> predecessor.isOpen(id));
     }
 
     /** Records an accepted message. Returns false, and accepts nothing, if there is no space for it. */
-    boolean take(final Held held) {
-        final long bytes = bytes(held);
-        if (live.containsKey(held.id) || liveBytes + bytes > TAKE_SHARE * fileBytes || !append(taken(held))) {
+    boolean accept(final JournaledMessage message) {
+        final long bytes = bytes(message);
+        if (open.containsKey(message.id) || openBytes + bytes > MESSAGE_SHARE * maxFileBytes || !append(acceptedRecord(message))) {
             return false;
         }
-        live.put(held.id, held);
-        liveBytes += bytes;
+        open.put(message.id, message);
+        openBytes += bytes;
         return true;
     }
 
     /** Records an attempt before the first byte of its call. If this returns false, the attempt may not be made. */
-    boolean begin(final Held held, final long wallUs, final String zone) {
-        if (!append(record(BEGUN, held.id, out -> {
+    boolean beginAttempt(final JournaledMessage message, final long wallUs, final String zone) {
+        if (!append(record(ATTEMPT_BEGUN, message.id, out -> {
             out.writeLong(wallUs);
             out.writeUTF(zone);
         }))) {
             return false;
         }
-        held.begin(wallUs, zone);
+        message.beginAttempt(wallUs, zone);
         return true;
     }
 
     /** Records the outcome of an attempt. */
-    void settle(final Held held, final boolean neverRan) {
-        held.settle(neverRan);
-        append(record(SETTLED, held.id, out -> out.writeBoolean(neverRan)));
+    void endAttempt(final JournaledMessage message, final boolean neverExecuted) {
+        message.endAttempt(neverExecuted);
+        append(record(ATTEMPT_ENDED, message.id, out -> out.writeBoolean(neverExecuted)));
     }
 
     /** Records that a message has ended and only its notice is outstanding. */
-    void owe(final Held held, final Held.Notice notice) {
-        final boolean counted = live.containsKey(held.id);
-        final long before = bytes(held);
-        held.owe(notice);
-        liveBytes -= counted ? before - bytes(held) : 0;
-        append(owed(held));
+    void recordNotice(final JournaledMessage message, final JournaledMessage.Notice notice) {
+        final boolean counted = open.containsKey(message.id);
+        final long before = bytes(message);
+        message.setNotice(notice);
+        openBytes -= counted ? before - bytes(message) : 0;
+        append(noticeRecord(message));
     }
 
     /** Records that a message is completed. */
-    void over(final Held held) {
-        over(held.id);
+    void complete(final JournaledMessage message) {
+        complete(message.id);
     }
 
     /** Records that the message of that id is completed. */
-    void over(final String id) {
-        final Held held = live.remove(id);
-        if (held != null) {
-            liveBytes -= bytes(held);
+    void complete(final String id) {
+        final JournaledMessage message = open.remove(id);
+        if (message != null) {
+            openBytes -= bytes(message);
             if (!predecessors.isEmpty()) {
-                ended.add(id);
+                completed.add(id);
             }
-            append(record(OVER, id, out -> {}));
+            append(record(COMPLETED, id, out -> {}));
         }
     }
 
-    private void keepSpare() {
+    private void reserveDescriptor() {
         try {
-            spare = FileChannel.open(folder, StandardOpenOption.READ);
+            spareDescriptor = FileChannel.open(folder, StandardOpenOption.READ);
         } catch (final IOException e) {
             // The next compaction has no spare descriptor, and logs it if it fails.
-            spare = null;
+            spareDescriptor = null;
         }
     }
 
-    private void useSpare() throws IOException {
-        if (spare != null) {
-            spare.close();
-            spare = null;
+    private void releaseDescriptor() throws IOException {
+        if (spareDescriptor != null) {
+            spareDescriptor.close();
+            spareDescriptor = null;
         }
     }
 
     @Override
     public void close() throws IOException {
-        useSpare();
+        releaseDescriptor();
         file.close();
         lock.close();
     }
 
-    private static long bytes(final Held held) {
-        final int keyChars = held.idempotencyKey == null ? 0 : held.idempotencyKey.length();
+    private static long bytes(final JournaledMessage message) {
+        final int keyChars = message.idempotencyKey == null ? 0 : message.idempotencyKey.length();
         // A header's characters take at most two bytes each, and each record of a message contains its id.
-        return held.body().length + 2L * (RECORDS * held.id.length() + keyChars + held.className.length()) + FATE_BYTES;
+        return message.body().length + 2L * (RECORDS_PER_MESSAGE * message.id.length() + keyChars + message.className.length()) + RESERVED_BYTES;
     }
 
     // ---------------------------------------------------------------- writing
@@ -476,60 +476,60 @@
     }
 
     /** A message with its finished attempts, so that one record is enough after a compaction. */
-    private static ByteBuffer taken(final Held held) {
-        return record(TAKEN, held.id, out -> {
-            out.writeUTF(held.className);
-            out.writeBoolean(held.idempotencyKey != null);
-            out.writeUTF(held.idempotencyKey == null ? "" : held.idempotencyKey);
-            out.writeLong(held.destination);
-            out.writeLong(held.validUntilWallUs);
-            out.writeInt(held.body().length);
-            out.write(held.body());
-            out.writeInt(held.attempts() - (held.isOut() ? 1 : 0));
-            out.writeLong(held.firstRunWallUs());
-            out.writeUTF(held.runZone());
+    private static ByteBuffer acceptedRecord(final JournaledMessage message) {
+        return record(ACCEPTED, message.id, out -> {
+            out.writeUTF(message.className);
+            out.writeBoolean(message.idempotencyKey != null);
+            out.writeUTF(message.idempotencyKey == null ? "" : message.idempotencyKey);
+            out.writeLong(message.destination);
+            out.writeLong(message.validUntilWallUs);
+            out.writeInt(message.body().length);
+            out.write(message.body());
+            out.writeInt(message.attempts() - (message.isInFlight() ? 1 : 0));
+            out.writeLong(message.firstExecutionWallUs());
+            out.writeUTF(message.executionZone());
         });
     }
 
     /** All records of a message. */
-    private static List<ByteBuffer> records(final Held held) {
+    private static List<ByteBuffer> records(final JournaledMessage message) {
         final List<ByteBuffer> records = new ArrayList<>();
-        records.add(taken(held));
-        if (held.isOut()) {
-            records.add(record(BEGUN, held.id, out -> {
-                out.writeLong(held.outWallUs());
-                out.writeUTF(held.outZone());
+        records.add(acceptedRecord(message));
+        if (message.isInFlight()) {
+            records.add(record(ATTEMPT_BEGUN, message.id, out -> {
+                out.writeLong(message.attemptBegunWallUs());
+                out.writeUTF(message.attemptZone());
             }));
         }
-        if (held.notice() != null) {
-            records.add(owed(held));
+        if (message.notice() != null) {
+            records.add(noticeRecord(message));
         }
         return records;
     }
 
-    private static ByteBuffer owed(final Held held) {
-        return record(OWED, held.id, out -> {
-            out.writeBoolean(held.notice().failed());
-            out.writeLong(held.notice().againMs());
+    private static ByteBuffer noticeRecord(final JournaledMessage message) {
+        return record(NOTICE_DUE, message.id, out -> {
+            out.writeBoolean(message.notice().failed());
+            out.writeLong(message.notice().retryAfterMs());
         });
     }
 
     private boolean append(final ByteBuffer record) {
         try {
-            if (leaving && (behind || size + record.capacity() > fileBytes)) {
+            if (handingOver && (incomplete || fileSize + record.capacity() > maxFileBytes)) {
                 throw new IOException("no space is left for an ending process");
             }
-            if (behind || size + record.capacity() > fileBytes) {
+            if (incomplete || fileSize + record.capacity() > maxFileBytes) {
                 compact();
             }
-            write(file, record, size);
-            size += record.capacity();
+            write(file, record, fileSize);
+            fileSize += record.capacity();
             return true;
         } catch (final IOException e) {
-            if (!behind) {
+            if (!incomplete) {
                 Log.info("journal: cannot write: " + e.getMessage());
             }
-            behind = true;
+            incomplete = true;
             return false;
         }
     }
@@ -542,16 +542,16 @@
     }
 
     private void compact() throws IOException {
-        useSpare();
+        releaseDescriptor();
         try {
-            writeAnew();
+            rewrite();
         } finally {
-            keepSpare();
+            reserveDescriptor();
         }
     }
 
     /** Writes the open messages to a new file and replaces the old one atomically. */
-    private void writeAnew() throws IOException {
+    private void rewrite() throws IOException {
         final Path next = nextPath();
         final FileChannel fresh = FileChannel.open(
                 next,
@@ -562,14 +562,14 @@
         long written = 0;
         try {
             written = copy(fresh, header(), written);
-            for (final Held held : live.values()) {
-                for (final ByteBuffer record : records(held)) {
+            for (final JournaledMessage message : open.values()) {
+                for (final ByteBuffer record : records(message)) {
                     written = copy(fresh, record, written);
                 }
             }
-            for (final String id : ended) {
+            for (final String id : completed) {
                 // A new message of that id may have been accepted since, which is still open.
-                written = live.containsKey(id) ? written : copy(fresh, record(OVER, id, out -> {}), written);
+                written = open.containsKey(id) ? written : copy(fresh, record(COMPLETED, id, out -> {}), written);
             }
             Files.move(next, path, StandardCopyOption.ATOMIC_MOVE);
         } catch (final IOException e) {
@@ -579,8 +579,8 @@
         }
         file.close();
         file = fresh;
-        size = written;
-        behind = false;
+        fileSize = written;
+        incomplete = false;
     }
 
     private static long copy(final FileChannel to, final ByteBuffer record, final long at) throws IOException {
--- a/src/main/java/driftchute/node/JournalCheck.java
+++ b/src/main/java/driftchute/node/JournalCheck.java
@@ -57,7 +57,7 @@
                         journal.getFileName(),
                         reader.version(),
                         reader.records(),
-                        reader.live().size(),
+                        reader.openMessages().size(),
                         reader.position(),
                         file.size() - reader.position(),
                         reader.tail().name().toLowerCase(Locale.ROOT));
--- a/src/main/java/driftchute/node/JournalReader.java
+++ b/src/main/java/driftchute/node/JournalReader.java
@@ -33,19 +33,19 @@
     private static final int HEAD_BYTES = 2 * Integer.BYTES;
     private static final int MAX_RECORD_BYTES = 1 << 17;
     /** The writer never recorded this time; its release does not support it. */
-    static final long NEVER_HEARD = -1;
+    static final long NEVER_RECORDED = -1;
 
     private final FileChannel file;
-    private final Map<String, Held> live = new LinkedHashMap<>();
-    private final Set<String> ended = new HashSet<>();
-    private final List<Courier.DestinationState> memories = new ArrayList<>();
+    private final Map<String, JournaledMessage> open = new LinkedHashMap<>();
+    private final Set<String> completed = new HashSet<>();
+    private final List<Courier.DestinationState> states = new ArrayList<>();
     private long position;
     private int records;
     private Tail tail = Tail.WHOLE;
     /** Format of the file: 1 for files without a header record, otherwise as in the header. */
     private int version = 1;
 
-    private long heardWallUs = NEVER_HEARD;
+    private long recordedUntilWallUs = NEVER_RECORDED;
 
     JournalReader(final FileChannel file) {
         this.file = file;
@@ -116,19 +116,19 @@
     }
 
     /** The open messages and unconfirmed notices, in the order of acceptance. */
-    Map<String, Held> live() {
-        return live;
+    Map<String, JournaledMessage> openMessages() {
+        return open;
     }
 
     /** Ids of the messages completed in the file, except those accepted again after that. */
-    Set<String> ended() {
-        return ended;
+    Set<String> completed() {
+        return completed;
     }
 
     /** The destination states read since the last call. */
-    List<Courier.DestinationState> takeMemories() {
-        final List<Courier.DestinationState> all = List.copyOf(memories);
-        memories.clear();
+    List<Courier.DestinationState> takeStates() {
+        final List<Courier.DestinationState> all = List.copyOf(states);
+        states.clear();
         return all;
     }
 
@@ -136,49 +136,49 @@
      * Time up to which the writer has recorded the outcomes of all its calls, Unix us; {@link #NEVER_HEARD} if it never
      * did.
      */
-    long heardWallUs() {
-        return heardWallUs;
+    long recordedUntilWallUs() {
+        return recordedUntilWallUs;
     }
 
     private void apply(final DataInputStream in) throws IOException {
         final byte type = in.readByte();
         final String id = in.readUTF();
-        final Held held = live.get(id);
+        final JournaledMessage message = open.get(id);
         if (type == Journal.HEADER) {
             version = in.readInt();
-        } else if (type == Journal.TAKEN) {
-            live.put(id, taken(id, in));
-            ended.remove(id);
-        } else if (type == Journal.OVER) {
-            live.remove(id);
-            ended.add(id);
-        } else if (type == Journal.HEARD) {
-            heardWallUs = in.readLong();
-        } else if (type == Journal.MEMORY) {
-            memories.add(memory(in));
-        } else if (held != null) {
+        } else if (type == Journal.ACCEPTED) {
+            open.put(id, readAccepted(id, in));
+            completed.remove(id);
+        } else if (type == Journal.COMPLETED) {
+            open.remove(id);
+            completed.add(id);
+        } else if (type == Journal.RECORDED_UNTIL) {
+            recordedUntilWallUs = in.readLong();
+        } else if (type == Journal.DESTINATION_STATE) {
+            states.add(readState(in));
+        } else if (message != null) {
             switch (type) {
-                case Journal.BEGUN -> held.begin(in.readLong(), in.readUTF());
-                case Journal.SETTLED -> held.settle(in.readBoolean());
-                case Journal.OWED -> held.owe(new Held.Notice(in.readBoolean(), in.readLong()));
+                case Journal.ATTEMPT_BEGUN -> message.beginAttempt(in.readLong(), in.readUTF());
+                case Journal.ATTEMPT_ENDED -> message.endAttempt(in.readBoolean());
+                case Journal.NOTICE_DUE -> message.setNotice(new JournaledMessage.Notice(in.readBoolean(), in.readLong()));
                 default -> Log.info("journal: unknown record " + type);
             }
         }
     }
 
-    private static Held taken(final String id, final DataInputStream in) throws IOException {
+    private static JournaledMessage readAccepted(final String id, final DataInputStream in) throws IOException {
         final String className = in.readUTF();
-        final boolean keyed = in.readBoolean();
+        final boolean hasKey = in.readBoolean();
         final String key = in.readUTF();
         final long destination = in.readLong();
         final long validUntilWallUs = in.readLong();
         final byte[] body = in.readNBytes(in.readInt());
-        final Held taken = new Held(id, className, keyed ? key : null, destination, validUntilWallUs, body);
-        taken.restore(in.readInt(), in.readLong(), in.readUTF());
+        final JournaledMessage taken = new JournaledMessage(id, className, hasKey ? key : null, destination, validUntilWallUs, body);
+        taken.restoreAttempts(in.readInt(), in.readLong(), in.readUTF());
         return taken;
     }
 
-    private static Courier.DestinationState memory(final DataInputStream in) throws IOException {
+    private static Courier.DestinationState readState(final DataInputStream in) throws IOException {
         return new Courier.DestinationState(
                 in.readLong(),
                 in.readInt(),
--- a/src/main/java/driftchute/node/Held.java
+++ b/src/main/java/driftchute/node/JournaledMessage.java
@@ -6,7 +6,7 @@
  * A message in the journal: what its client submitted and the attempts so far (times in Unix microseconds). Once it has
  * ended with a notice, only the notice is outstanding.
  */
-final class Held {
+final class JournaledMessage {
     static final long NEVER = Long.MAX_VALUE;
     private static final byte[] NOTHING = {};
 
@@ -17,18 +17,18 @@
     final long validUntilWallUs;
     private byte[] body;
     private int attempts;
-    private long firstRunWallUs = NEVER;
-    private String runZone = "";
+    private long firstExecutionWallUs = NEVER;
+    private String executionZone = "";
     /** When the attempt in flight began; {@code NEVER} if there is none. */
-    private long outWallUs = NEVER;
+    private long attemptBegunWallUs = NEVER;
 
-    private String outZone = "";
+    private String attemptZone = "";
     private Notice notice;
 
     /** The outcome that the platform is notified of: a failure, or a refusal with the time after which to try again. */
-    record Notice(boolean failed, long againMs) {}
+    record Notice(boolean failed, long retryAfterMs) {}
 
-    Held(
+    JournaledMessage(
             final String id,
             final String className,
             final String idempotencyKey,
@@ -43,39 +43,39 @@
         this.body = body;
     }
 
-    void begin(final long wallUs, final String zone) {
+    void beginAttempt(final long wallUs, final String zone) {
         attempts++;
-        outWallUs = wallUs;
-        outZone = zone;
+        attemptBegunWallUs = wallUs;
+        attemptZone = zone;
     }
 
     /** The attempt in flight has its outcome. */
-    void settle(final boolean neverRan) {
-        if (!neverRan && outWallUs != NEVER) {
-            firstRunWallUs = Math.min(firstRunWallUs, outWallUs);
-            runZone = outZone;
+    void endAttempt(final boolean neverExecuted) {
+        if (!neverExecuted && attemptBegunWallUs != NEVER) {
+            firstExecutionWallUs = Math.min(firstExecutionWallUs, attemptBegunWallUs);
+            executionZone = attemptZone;
         }
-        outWallUs = NEVER;
+        attemptBegunWallUs = NEVER;
     }
 
-    void restore(final int attemptsUsed, final long firstRun, final String zone) {
+    void restoreAttempts(final int attemptsUsed, final long firstRun, final String zone) {
         attempts = attemptsUsed;
-        firstRunWallUs = firstRun;
-        runZone = zone;
+        firstExecutionWallUs = firstRun;
+        executionZone = zone;
     }
 
     /** True if this copy has progressed further than the same message's copy in another journal. */
-    boolean isAheadOf(final Held other) {
+    boolean isAheadOf(final JournaledMessage other) {
         return notice != null && other.notice == null
                 || attempts > other.attempts
-                || attempts == other.attempts && isOut() && !other.isOut();
+                || attempts == other.attempts && isInFlight() && !other.isInFlight();
     }
 
     /**
      * From now on only its notice is outstanding. The body is dropped, because many notices may wait while the platform
      * is unreachable.
      */
-    void owe(final Notice owed) {
+    void setNotice(final Notice owed) {
         notice = owed;
         body = NOTHING;
     }
@@ -93,30 +93,30 @@
         return attempts;
     }
 
-    long firstRunWallUs() {
-        return firstRunWallUs;
+    long firstExecutionWallUs() {
+        return firstExecutionWallUs;
     }
 
-    String runZone() {
-        return runZone;
+    String executionZone() {
+        return executionZone;
     }
 
-    boolean isOut() {
-        return outWallUs != NEVER;
+    boolean isInFlight() {
+        return attemptBegunWallUs != NEVER;
     }
 
-    long outWallUs() {
-        return outWallUs;
+    long attemptBegunWallUs() {
+        return attemptBegunWallUs;
     }
 
-    String outZone() {
-        return outZone;
+    String attemptZone() {
+        return attemptZone;
     }
 
     /** The history for a process that did not make the attempts. A call in flight may have been executed. */
-    Courier.MessageHistory past(final Clock clock) {
-        final long firstWallUs = Math.min(firstRunWallUs, outWallUs);
-        final boolean ran = firstWallUs != NEVER;
-        return new Courier.MessageHistory(attempts, ran, ran ? clock.fromWallUs(firstWallUs) : 0, isOut() ? outZone : runZone);
+    Courier.MessageHistory history(final Clock clock) {
+        final long firstWallUs = Math.min(firstExecutionWallUs, attemptBegunWallUs);
+        final boolean mayHaveExecuted = firstWallUs != NEVER;
+        return new Courier.MessageHistory(attempts, mayHaveExecuted, mayHaveExecuted ? clock.fromWallUs(firstWallUs) : 0, isInFlight() ? attemptZone : executionZone);
     }
 }
--- a/src/main/java/driftchute/node/Log.java
+++ b/src/main/java/driftchute/node/Log.java
@@ -17,23 +17,23 @@
  * is in {@code msg}. A failure's stack trace follows its line as plain text.
  */
 final class Log {
-    private static final int BROKEN_STATUS = 70;
+    private static final int FATAL_EXIT_CODE = 70;
     private static final long NS_PER_US = 1000;
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static volatile String name = "-";
+    private static volatile String processName = "-";
 
     private Log() {}
 
     /** Sets the process name for subsequent lines. */
-    static void named(final String process) {
-        name = process;
+    static void setProcessName(final String process) {
+        processName = process;
     }
 
     /**
      * Redirects the libraries' log lines to this log. The JDK's console handler loads the time zones from a file, and
      * if no descriptor is available for that, the thread that wrote the line ends.
      */
-    static void takeLibraryLines() {
+    static void redirectLibraryLogs() {
         LogManager.getLogManager().reset();
         final Logger root = Logger.getLogger("");
         root.setLevel(Level.WARNING);
@@ -78,7 +78,7 @@
         final Map<String, Object> line = new LinkedHashMap<>();
         line.put("t_ms", System.currentTimeMillis());
         line.put("mono_us", System.nanoTime() / NS_PER_US);
-        line.put("proc", name);
+        line.put("proc", processName);
         line.put("event", event);
         for (int i = 0; i < fields.length; i += 2) {
             line.put(String.valueOf(fields[i]), fields[i + 1]);
@@ -98,7 +98,7 @@
         cause.printStackTrace();
         if (cause instanceof VirtualMachineError) {
             // After that nothing can be trusted, so the process ends; the next one resumes.
-            Runtime.getRuntime().halt(BROKEN_STATUS);
+            Runtime.getRuntime().halt(FATAL_EXIT_CODE);
         }
     }
 }
--- a/src/main/java/driftchute/node/Main.java
+++ b/src/main/java/driftchute/node/Main.java
@@ -14,16 +14,16 @@
 /** Starts a courier process, reloads its configuration on SIGHUP, and stops it in order on SIGTERM. */
 public final class Main {
     /** Time for which the listener stays open after SIGTERM. New connections still arrive for up to 0.4 s. */
-    private static final long LISTEN_MS = 550;
+    private static final long LISTEN_AFTER_TERM_MS = 550;
     /** The same if another process takes over: it may be slow to listen, and clients are served meanwhile. */
-    private static final long LEAVE_LISTEN_MS = 2500;
+    private static final long HANDOVER_LISTEN_MS = 2500;
     /**
      * Time after SIGTERM at which remaining client connections are ended. Each has been open for at least 2 s then, and
      * their last answers have 0.5 s left to be read.
      */
-    private static final long HANG_UP_MS = 2600;
+    private static final long END_CONNECTIONS_MS = 2600;
     /** Time to accept and read what is in the listener's queue: a few turns of the event loop. */
-    private static final long QUEUE_MS = 50;
+    private static final long ACCEPT_QUEUE_MS = 50;
     /** Time after SIGTERM at which the process ends. SIGKILL comes no sooner than 3.7 s after SIGTERM. */
     private static final long STOP_MS = 3100;
 
@@ -31,7 +31,7 @@
     /** Additional time for the event loop's last turn. */
     private static final long LAST_TURN_MS = 1000;
     /** Interval at which the locks of other processes are checked. */
-    private static final long SEEK_MS = 10;
+    private static final long LOCK_CHECK_MS = 10;
 
     private static final long US_PER_MS = 1000;
 
@@ -43,12 +43,12 @@
     /** True if this process serves, or stands by to serve. */
     private volatile boolean ready;
     /** True once it has taken over from its predecessor. Event loop only. */
-    private boolean serving;
+    private boolean isServing;
     /** True if it was told to stop before it served: it takes nothing over any more. Event loop only. */
-    private boolean endsUnserved;
+    private boolean stoppedBeforeServing;
 
-    private Handover handover;
-    private Host host;
+    private HandoverLocks handover;
+    private DeliveryService host;
     private ClientServer intake;
 
     private Main(final Map<String, String> environment) {
@@ -66,23 +66,23 @@
     }
 
     static void start(final Map<String, String> environment) throws Config.BadConfigException, IOException {
-        Log.takeLibraryLines();
+        Log.redirectLibraryLogs();
         new Main(environment).start();
     }
 
     private void start() throws Config.BadConfigException, IOException {
         // Must be first: until the handler is in place, a SIGHUP ends the process.
-        Hangup.onSignal(this::reload);
+        HangupSignal.onSignal(this::reload);
         final Config config = Config.read(environment);
-        Log.named(config.name());
-        handover = new Handover(config.state());
+        Log.setProcessName(config.name());
+        handover = new HandoverLocks(config.state());
         Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
         final OperatorOrders orders = new OperatorOrders(config.state());
-        if (handover.serve()) {
+        if (handover.tryServe()) {
             // A drain applies to the running courier. One that starts anew is meant to serve.
             orders.change(state -> state.withDraining(false));
         }
-        onLoop(() -> run(config, orders));
+        runOnLoop(() -> createParts(config, orders));
     }
 
     /** A step of the start. If it fails the process exits, so that no courier is left that never becomes ready. */
@@ -90,57 +90,57 @@
         void run() throws IOException;
     }
 
-    private void onLoop(final Step step) {
+    private void runOnLoop(final Step step) {
         loop.execute(() -> {
             try {
                 step.run();
             } catch (final IllegalArgumentException | IOException e) {
                 // An exception on the event loop's thread would otherwise be swallowed.
-                giveUp(e.getMessage());
+                abort(e.getMessage());
             }
         });
     }
 
-    private static void giveUp(final String reason) {
+    private static void abort(final String reason) {
         System.err.println("cannot start: " + reason);
         Runtime.getRuntime().halt(1);
     }
 
     /** Creates all parts on the event loop, which owns them from then on. */
-    private void run(final Config config, final OperatorOrders orders) throws IOException {
-        if (endsUnserved) {
+    private void createParts(final Config config, final OperatorOrders orders) throws IOException {
+        if (stoppedBeforeServing) {
             return;
         }
-        host = new Host(config, loop, clock, new Journal(config.state(), config.diskBytes()), orders);
+        host = new DeliveryService(config, loop, clock, new Journal(config.state(), config.diskBytes()), orders);
         intake = new ClientServer(config, clock, host, orders);
         host.start();
-        manage(config, orders);
-        seek(config);
+        openManagement(config, orders);
+        tryToServe(config);
     }
 
     /** Serves as soon as no other process of this courier does. Until then it stands by, which counts as ready. */
-    private void seek(final Config config) throws IOException {
-        if (endsUnserved) {
+    private void tryToServe(final Config config) throws IOException {
+        if (stoppedBeforeServing) {
             return;
         }
-        if (handover.serve()) {
+        if (handover.tryServe()) {
             serve(config);
             return;
         }
-        if (!ready && handover.standBy()) {
+        if (!ready && handover.tryStandBy()) {
             ready = true;
             Log.event("stands_by", "msg", config.name() + " stands by");
         }
-        loop.schedule(() -> onLoop(() -> seek(config)), SEEK_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> runOnLoop(() -> tryToServe(config)), LOCK_CHECK_MS, TimeUnit.MILLISECONDS);
     }
 
     private void serve(final Config config) throws IOException {
-        serving = true;
-        host.takeUp();
+        isServing = true;
+        host.takeOver();
         intake.listen(group, loop).addListener(bound -> {
             if (bound.isSuccess()) {
                 ready = true;
-                handover.served();
+                handover.releaseStandBy();
                 Log.event(
                         "ready",
                         "msg",
@@ -148,14 +148,14 @@
                         "listen",
                         String.valueOf(intake.address()));
             } else {
-                giveUp("cannot listen on " + config.listen() + ": "
+                abort("cannot listen on " + config.listen() + ": "
                         + bound.cause().getMessage());
             }
         });
     }
 
     /** Opens the management address if one is configured. */
-    private void manage(final Config config, final OperatorOrders orders) {
+    private void openManagement(final Config config, final OperatorOrders orders) {
         if (config.mgmt() == null) {
             return;
         }
@@ -165,7 +165,7 @@
                 Log.info("the second address is "
                         + bound.channel().localAddress().toString().replaceFirst(".*/", ""));
             } else {
-                giveUp("cannot listen on " + config.mgmt() + ": " + done.cause().getMessage());
+                abort("cannot listen on " + config.mgmt() + ": " + done.cause().getMessage());
             }
         });
     }
@@ -192,15 +192,15 @@
         // All deadlines before SIGKILL count from here, because the event loop may run late.
         final long fromUs = clock.nowUs();
         loop.execute(() -> {
-            if (!serving) {
+            if (!isServing) {
                 // It has accepted nothing, so the serving process simply goes on.
-                endUnserved();
+                stopBeforeServing();
                 return;
             }
             try {
                 ready = false;
-                if (handover.hasNext()) {
-                    leave(fromUs);
+                if (handover.hasSuccessor()) {
+                    handOver(fromUs);
                 } else {
                     drain(fromUs);
                 }
@@ -211,7 +211,7 @@
         });
         try {
             // A process that was itself suspended reads what has arrived meanwhile before it ends.
-            if (!stopped.await(STOP_MS + LISTEN_MS / 2, TimeUnit.MILLISECONDS)
+            if (!stopped.await(STOP_MS + LISTEN_AFTER_TERM_MS / 2, TimeUnit.MILLISECONDS)
                     && !stopped.await(LAST_TURN_MS, TimeUnit.MILLISECONDS)) {
                 Log.info("the event loop did not stop in time");
             }
@@ -221,11 +221,11 @@
     }
 
     /** Ending takes a while. From now on this process neither serves nor stands by, so that another one may. */
-    private void endUnserved() {
-        endsUnserved = true;
+    private void stopBeforeServing() {
+        stoppedBeforeServing = true;
         ready = false;
         try {
-            handover.withdraw();
+            handover.releaseAll();
         } catch (final IOException e) {
             Log.failure("the handover locks cannot be used", e);
         }
@@ -237,50 +237,50 @@
      * SIGKILL, and leaves the rest to the next start.
      */
     private void drain(final long fromUs) {
-        final long stopUs = notBeforeRead(fromUs + STOP_MS * US_PER_MS);
+        final long stopUs = afterAcceptQueue(fromUs + STOP_MS * US_PER_MS);
         intake.drain();
-        host.stopping(stopUs);
-        at(fromUs + LISTEN_MS * US_PER_MS, () -> {
+        host.stopAt(stopUs);
+        scheduleAt(fromUs + LISTEN_AFTER_TERM_MS * US_PER_MS, () -> {
             intake.closeListener();
-            stopWhen(stopUs, () -> host.idle() && intake.isEmpty());
+            stopWhen(stopUs, () -> host.isIdle() && intake.isEmpty());
         });
-        at(notBeforeRead(fromUs + HANG_UP_MS * US_PER_MS), intake::endConnections);
+        scheduleAt(afterAcceptQueue(fromUs + END_CONNECTIONS_MS * US_PER_MS), intake::endConnections);
     }
 
     /** The given time, or later if the event loop is late and still has to read what is in the listener's queue. */
-    private long notBeforeRead(final long us) {
-        return Math.max(us, clock.nowUs() + QUEUE_MS * US_PER_MS);
+    private long afterAcceptQueue(final long us) {
+        return Math.max(us, clock.nowUs() + ACCEPT_QUEUE_MS * US_PER_MS);
     }
 
     /** Runs a task on the event loop at that time, or at once if it has passed. */
-    private void at(final long us, final Runnable task) {
+    private void scheduleAt(final long us, final Runnable task) {
         loop.schedule(task, us - clock.nowUs(), TimeUnit.MICROSECONDS);
     }
 
     /** Hands over to another process: only finishes its calls and its clients' connections. */
-    private void leave(final long fromUs) throws IOException {
+    private void handOver(final long fromUs) throws IOException {
         Log.info("handing over to another process");
         intake.handOver();
-        host.leave();
-        handover.letGo();
-        loop.execute(() -> stopListening(fromUs + LEAVE_LISTEN_MS * US_PER_MS));
-        stopWhen(notBeforeRead(fromUs + STOP_MS * US_PER_MS), () -> host.idle() && intake.isEmpty());
+        host.handOver();
+        handover.releaseServing();
+        loop.execute(() -> stopListening(fromUs + HANDOVER_LISTEN_MS * US_PER_MS));
+        stopWhen(afterAcceptQueue(fromUs + STOP_MS * US_PER_MS), () -> host.isIdle() && intake.isEmpty());
     }
 
     /** Listens until the successor does, or until the time is up. */
     private void stopListening(final long byUs) {
-        final boolean done = isTakenOver();
+        final boolean done = isSuccessorReady();
         if (done || clock.nowUs() >= byUs) {
             Log.info(done ? "the successor listens" : "the successor does not listen yet; open messages wait for it");
             intake.closeListener();
         } else {
-            loop.schedule(() -> stopListening(byUs), SEEK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> stopListening(byUs), LOCK_CHECK_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private boolean isTakenOver() {
+    private boolean isSuccessorReady() {
         try {
-            return handover.isDone();
+            return handover.isSuccessorServing();
         } catch (final IOException e) {
             return false;
         }
@@ -292,7 +292,7 @@
                 () -> {
                     if (done.getAsBoolean() || clock.nowUs() >= stopUs) {
                         intake.endConnections();
-                        host.cutOff();
+                        host.endRemainingCalls();
                         stopped.countDown();
                     }
                 },
--- a/src/main/java/driftchute/node/NoticeSender.java
+++ b/src/main/java/driftchute/node/NoticeSender.java
@@ -56,12 +56,12 @@
     private static final int BAD_REQUEST = 400;
 
     private final EventLoop loop;
-    private final Consumer<List<Held>> confirmation;
+    private final Consumer<List<JournaledMessage>> confirmation;
     private final ObjectMapper json = new ObjectMapper();
     /** All unconfirmed notices, including those of the batch. */
-    private final Set<Held> unconfirmed = new LinkedHashSet<>();
+    private final Set<JournaledMessage> unconfirmed = new LinkedHashSet<>();
     /** Notices that were sent and are not answered yet. */
-    private final List<Held> batch = new ArrayList<>();
+    private final List<JournaledMessage> batch = new ArrayList<>();
 
     private InetSocketAddress address;
     private PlatformConnection connection;
@@ -71,19 +71,19 @@
     private long answerTimeoutMs = MIN_ANSWER_MS;
     private int maxBatchSize = MAX_IN_BATCH;
 
-    NoticeSender(final InetSocketAddress address, final EventLoop loop, final Host host) {
-        this(address, loop, host::noticed);
+    NoticeSender(final InetSocketAddress address, final EventLoop loop, final DeliveryService host) {
+        this(address, loop, host::onNoticesConfirmed);
     }
 
     /** {@code confirmation} receives the notices that the platform has confirmed. */
-    NoticeSender(final InetSocketAddress address, final EventLoop loop, final Consumer<List<Held>> confirmation) {
+    NoticeSender(final InetSocketAddress address, final EventLoop loop, final Consumer<List<JournaledMessage>> confirmation) {
         this.address = address;
         this.loop = loop;
         this.confirmation = confirmation;
     }
 
     /** Adds a notice. It is sent with the next flush. */
-    void add(final Held held) {
+    void add(final JournaledMessage held) {
         unconfirmed.add(held);
     }
 
@@ -126,7 +126,7 @@
     /** Fills the batch and returns its text, one line per notice. */
     private String fillBatch() {
         final StringBuilder text = new StringBuilder();
-        for (final Held held : unconfirmed) {
+        for (final JournaledMessage held : unconfirmed) {
             final String next = toJson(held);
             // An id arrived in a header, so its characters take at most two bytes each.
             if (batch.size() == maxBatchSize || !batch.isEmpty() && 2 * (text.length() + next.length()) >= MAX_BODY_BYTES) {
@@ -138,19 +138,19 @@
         return text.toString();
     }
 
-    private String toJson(final Held held) {
+    private String toJson(final JournaledMessage held) {
         final ObjectNode notice = json.createObjectNode()
                 .put("id", held.id)
                 .put("status", held.notice().failed() ? "undeliverable" : "deferred");
-        if (held.notice().againMs() > 0) {
-            notice.put("again_ms", held.notice().againMs());
+        if (held.notice().retryAfterMs() > 0) {
+            notice.put("again_ms", held.notice().retryAfterMs());
         }
         return notice.toString();
     }
 
     private void onAnswer(final int status) {
         if (status == CONFIRMED) {
-            final List<Held> confirmed = List.copyOf(batch);
+            final List<JournaledMessage> confirmed = List.copyOf(batch);
             clearBatch();
             confirmed.forEach(unconfirmed::remove);
             confirmation.accept(confirmed);
--- a/src/main/java/driftchute/node/Predecessor.java
+++ b/src/main/java/driftchute/node/PredecessorJournal.java
@@ -14,20 +14,20 @@
  * The journal of an earlier process of this courier, which may still write to it. It is read as it grows, until that
  * process is gone.
  */
-final class Predecessor {
+final class PredecessorJournal {
     /** Suffix of the file that a compaction writes ({@link Journal}). */
     private static final String NEXT = ".next";
 
     private final Path path;
-    private final Lock lock;
+    private final ProcessLock lock;
     private final FileChannel file;
     private final JournalReader reader;
     /** Calls it has in flight, by destination, as last reported. */
-    private final Map<Long, Integer> callsOut = new HashMap<>();
+    private final Map<Long, Integer> callsInFlight = new HashMap<>();
 
     private boolean gone;
 
-    Predecessor(final Path path, final Lock lock) throws IOException {
+    PredecessorJournal(final Path path, final ProcessLock lock) throws IOException {
         this.path = path;
         this.lock = lock;
         this.file = FileChannel.open(path, StandardOpenOption.READ);
@@ -37,7 +37,7 @@
     /** Reads more; true if there is news, including the end of the process. */
     boolean poll() throws IOException {
         // Take the lock first: what is read after its process is gone is complete.
-        final boolean ended = !gone && lock.take();
+        final boolean ended = !gone && lock.tryLock();
         gone |= ended;
         return reader.read() || ended;
     }
@@ -48,31 +48,31 @@
     }
 
     /** The destination states that were reported since the last call. */
-    List<Courier.DestinationState> takeMemories() {
-        final List<Courier.DestinationState> news = reader.takeMemories();
-        news.forEach(memory -> callsOut.put(memory.destination(), memory.callsInFlight()));
+    List<Courier.DestinationState> takeStates() {
+        final List<Courier.DestinationState> news = reader.takeStates();
+        news.forEach(state -> callsInFlight.put(state.destination(), state.callsInFlight()));
         return news;
     }
 
     /**
      * True while its file has an open message or unconfirmed notice of that id, whichever process continues with it.
      */
-    boolean holds(final String id) {
-        return reader.live().containsKey(id);
+    boolean isOpen(final String id) {
+        return reader.openMessages().containsKey(id);
     }
 
     /** Its calls in flight at a destination; none once it is gone. */
-    int callsOut(final long destination) {
-        return gone ? 0 : callsOut.getOrDefault(destination, 0);
+    int callsInFlight(final long destination) {
+        return gone ? 0 : callsInFlight.getOrDefault(destination, 0);
     }
 
     /**
      * Time up to which all answers to its calls are known, Unix us; {@code Long.MAX_VALUE} if it has no calls in flight
      * or never records this.
      */
-    long heardWallUs() {
-        final boolean out = !gone && callsOut.values().stream().anyMatch(calls -> calls > 0);
-        return out && reader.heardWallUs() != JournalReader.NEVER_HEARD ? reader.heardWallUs() : Long.MAX_VALUE;
+    long recordedUntilWallUs() {
+        final boolean out = !gone && callsInFlight.values().stream().anyMatch(calls -> calls > 0);
+        return out && reader.recordedUntilWallUs() != JournalReader.NEVER_RECORDED ? reader.recordedUntilWallUs() : Long.MAX_VALUE;
     }
 
     JournalReader reader() {
--- a/src/main/java/driftchute/node/Lock.java
+++ b/src/main/java/driftchute/node/ProcessLock.java
@@ -11,16 +11,16 @@
  * A file lock shared by the processes of one courier. It ends with its process. Its empty file remains, because a
  * removed file could be locked twice under one name. Thread-safe.
  */
-final class Lock implements AutoCloseable {
+final class ProcessLock implements AutoCloseable {
     private final FileChannel channel;
     private FileLock lock;
 
-    Lock(final Path file) throws IOException {
+    ProcessLock(final Path file) throws IOException {
         this.channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
     /** Takes the lock if it is free. True while this object holds it. */
-    synchronized boolean take() throws IOException {
+    synchronized boolean tryLock() throws IOException {
         try {
             lock = lock == null ? channel.tryLock() : lock;
         } catch (final OverlappingFileLockException e) {
@@ -38,9 +38,9 @@
     }
 
     /** True if another holder has the lock at this moment. */
-    synchronized boolean isTaken() throws IOException {
+    synchronized boolean isHeldByOther() throws IOException {
         final boolean mine = lock != null;
-        final boolean free = take();
+        final boolean free = tryLock();
         if (!mine) {
             release();
         }
--- a/src/main/java/driftchute/node/Rehearsal.java
+++ b/src/main/java/driftchute/node/TrainingRun.java
@@ -15,12 +15,12 @@
  * is ready in a fraction of the time, also after a restart. It acts as its own discovery and endpoint, which answer
  * 404.
  */
-public final class Rehearsal {
+public final class TrainingRun {
     private static final String ADDRESS = "127.0.0.1";
     private static final int TRIES = 50;
     private static final long PAUSE_MS = 100;
 
-    private Rehearsal() {}
+    private TrainingRun() {}
 
     /** Runs a courier in the given folder, submits one message, and exits. */
     public static void main(final String[] args) throws IOException, InterruptedException, Config.BadConfigException {
