--- a/src/main/java/driftchute/fleet/Moment.java
+++ b/src/main/java/driftchute/fleet/ClockReading.java
@@ -5,9 +5,9 @@
  * (Unix time) is for times that couriers exchange, because all machines share one clock (PROTOCOL-irishead.md,
  * Discovery).
  */
-public record Moment(long monoUs, long wallMs) {
+public record ClockReading(long monoUs, long wallMs) {
     /** A reading that is {@code us} later on both clocks; {@code us} may be negative. */
-    public Moment plusUs(final long us) {
-        return new Moment(monoUs + us, wallMs + Math.floorDiv(us, 1000L));
+    public ClockReading plusUs(final long us) {
+        return new ClockReading(monoUs + us, wallMs + Math.floorDiv(us, 1000L));
     }
 }
--- a/src/main/java/driftchute/fleet/Plane.java
+++ b/src/main/java/driftchute/fleet/ControlPlane.java
@@ -9,7 +9,7 @@
  * The control plane of one courier: connects the components, passes each message to the component that understands it,
  * and packs what they send. Has no clock or I/O; used by one thread.
  */
-public final class Plane {
+public final class ControlPlane {
     /** Maximum number of messages between components of this courier in one turn, to stop endless loops. */
     private static final int MAX_OWN = 1000;
 
@@ -18,16 +18,16 @@
         /**
          * Sends a datagram to a peer.
          *
-         * @param datagram at most {@link Codec#MOST_BYTES}
+         * @param datagram at most {@link FrameCodec#MOST_BYTES}
          */
         void send(int peer, byte[] datagram);
     }
 
-    private final Codec codec;
-    private final Mail mail;
-    private final List<Part> parts;
-    private final List<Rider> riders = new ArrayList<>();
-    private final Map<Integer, Part> byType = new HashMap<>();
+    private final FrameCodec codec;
+    private final DatagramPacker packer;
+    private final List<Component> components;
+    private final List<GossipSource> gossipSources = new ArrayList<>();
+    private final Map<Integer, Component> byType = new HashMap<>();
     private final Sender sender;
     private final Tier tier;
 
@@ -36,32 +36,32 @@
      *
      * @throws IllegalArgumentException if two components claim the same message type
      */
-    public Plane(final Tier tier, final List<Part> parts, final Sender sender) {
+    public ControlPlane(final Tier tier, final List<Component> components, final Sender sender) {
         this.tier = tier;
-        this.parts = List.copyOf(parts);
+        this.components = List.copyOf(components);
         this.sender = sender;
         final Map<Integer, Message.Reader> readers = new HashMap<>();
-        for (final Part part : parts) {
-            part.readers().forEach((type, reader) -> {
+        for (final Component component : components) {
+            component.readers().forEach((type, reader) -> {
                 if (readers.put(type, reader) != null) {
                     throw new IllegalArgumentException("two components claim messages of type " + type);
                 }
-                byType.put(type, part);
+                byType.put(type, component);
             });
-            if (part instanceof Rider rider) {
-                riders.add(rider);
+            if (component instanceof GossipSource gossipSource) {
+                gossipSources.add(gossipSource);
             }
         }
-        this.codec = new Codec(tier.epoch(), readers);
-        this.mail = new Mail(tier, codec);
+        this.codec = new FrameCodec(tier.epoch(), readers);
+        this.packer = new DatagramPacker(tier, codec);
     }
 
     /** Handles a datagram from that courier's address. No content can make this throw. */
-    public void receive(final Moment now, final int from, final byte[] datagram) {
+    public void receive(final ClockReading now, final int from, final byte[] datagram) {
         if (from < 0 || from >= tier.size() || from == tier.self()) {
             return;
         }
-        codec.decode(datagram).forEach(message -> byType.get(message.type()).receive(now, from, message, mail));
+        codec.decode(datagram).forEach(message -> byType.get(message.type()).receive(now, from, message, packer));
         flush(now);
     }
 
@@ -70,10 +70,10 @@
      *
      * @return the latest time for the next call, monotonic us
      */
-    public long tick(final Moment now) {
+    public long tick(final ClockReading now) {
         long next = Long.MAX_VALUE;
-        for (final Part part : parts) {
-            next = Math.min(next, part.tick(now, mail));
+        for (final Component component : components) {
+            next = Math.min(next, component.tick(now, packer));
         }
         flush(now);
         return next;
@@ -81,23 +81,23 @@
 
     /** The outbox for components that are called other than by messages and ticks. {@link #flush} sends its content. */
     public Outbox outbox() {
-        return mail;
+        return packer;
     }
 
     /** Sends the messages collected since the last flush. */
-    public void flush(final Moment now) {
-        int left = MAX_OWN;
-        for (Message own = mail.ownNext(); own != null; own = mail.ownNext()) {
-            if (left-- == 0) {
-                throw new IllegalStateException("components of this courier answer each other in an endless loop: " + own);
+    public void flush(final ClockReading now) {
+        int remaining = MAX_OWN;
+        for (Message message = packer.nextToSelf(); message != null; message = packer.nextToSelf()) {
+            if (remaining-- == 0) {
+                throw new IllegalStateException("components of this courier answer each other in an endless loop: " + message);
             }
-            byType.get(own.type()).receive(now, tier.self(), own, mail);
+            byType.get(message.type()).receive(now, tier.self(), message, packer);
         }
-        mail.pack(now, riders).forEach(datagram -> sender.send(datagram.peer(), datagram.bytes()));
+        packer.pack(now, gossipSources).forEach(datagram -> sender.send(datagram.peer(), datagram.bytes()));
     }
 
     /** Number of dropped frames and messages by reason. */
-    public Map<Codec.Drop, Long> drops() {
+    public Map<FrameCodec.Drop, Long> drops() {
         return codec.drops();
     }
 }
--- a/src/main/java/driftchute/fleet/Mail.java
+++ b/src/main/java/driftchute/fleet/DatagramPacker.java
@@ -8,16 +8,16 @@
 import java.util.TreeMap;
 
 /** Packs the messages of one turn into as few datagrams as possible. Gossip fills the space left. */
-final class Mail implements Outbox {
+final class DatagramPacker implements Outbox {
     /** One datagram for one courier. */
     record Datagram(int peer, byte[] bytes) {}
 
     private final Tier tier;
-    private final Codec codec;
+    private final FrameCodec codec;
     private final Map<Integer, List<Message>> waiting = new TreeMap<>();
-    private final Deque<Message> own = new ArrayDeque<>();
+    private final Deque<Message> toSelf = new ArrayDeque<>();
 
-    Mail(final Tier tier, final Codec codec) {
+    DatagramPacker(final Tier tier, final FrameCodec codec) {
         this.tier = tier;
         this.codec = codec;
     }
@@ -25,7 +25,7 @@
     @Override
     public void send(final int peer, final Message message) {
         if (peer == tier.self()) {
-            own.add(message);
+            toSelf.add(message);
         } else if (peer >= 0 && peer < tier.size()) {
             waiting.computeIfAbsent(peer, unused -> new ArrayList<>()).add(message);
         } else {
@@ -34,29 +34,29 @@
     }
 
     /** The next message that a component of this courier sent to this courier, or null. */
-    Message ownNext() {
-        return own.poll();
+    Message nextToSelf() {
+        return toSelf.poll();
     }
 
     /** Packs all waiting messages, each in one piece. The last datagram for a courier also carries gossip. */
-    List<Datagram> pack(final Moment now, final List<Rider> riders) {
+    List<Datagram> pack(final ClockReading now, final List<GossipSource> gossipSources) {
         final List<Datagram> datagrams = new ArrayList<>();
         waiting.forEach((peer, messages) -> {
             List<Message> frame = new ArrayList<>();
-            int room = Codec.MAX_BYTES - Codec.HEADER;
+            int freeBytes = FrameCodec.MAX_BYTES - FrameCodec.HEADER_BYTES;
             for (final Message message : messages) {
-                if (Codec.sizeOf(message) > room) {
+                if (FrameCodec.sizeOf(message) > freeBytes) {
                     datagrams.add(new Datagram(peer, codec.encode(frame)));
                     frame = new ArrayList<>();
-                    room = Codec.MAX_BYTES - Codec.HEADER;
+                    freeBytes = FrameCodec.MAX_BYTES - FrameCodec.HEADER_BYTES;
                 }
                 frame.add(message);
-                room -= Codec.sizeOf(message);
+                freeBytes -= FrameCodec.sizeOf(message);
             }
-            for (final Rider rider : riders) {
-                for (final Message message : rider.ride(now, peer, room)) {
+            for (final GossipSource gossipSource : gossipSources) {
+                for (final Message message : gossipSource.gossip(now, peer, freeBytes)) {
                     frame.add(message);
-                    room -= Codec.sizeOf(message);
+                    freeBytes -= FrameCodec.sizeOf(message);
                 }
             }
             datagrams.add(new Datagram(peer, codec.encode(frame)));
--- a/src/main/java/driftchute/fleet/Events.java
+++ b/src/main/java/driftchute/fleet/EventLog.java
@@ -1,9 +1,9 @@
 package driftchute.fleet;
 
 /** Receives events for the operators' log: one structured line each. */
-public interface Events {
+public interface EventLog {
     /** Discards all events. */
-    Events NONE = (name, fields) -> {};
+    EventLog NONE = (name, fields) -> {};
 
     /**
      * Logs an event.
--- a/src/main/java/driftchute/fleet/FleetBlock.java
+++ b/src/main/java/driftchute/fleet/FleetConfig.java
@@ -18,7 +18,7 @@
  * @param staleMs age at which a verdict expires, ms (default 10,000; 1,000 to 600,000)
  * @param lanes priority lanes, the first one shed last (default none)
  */
-public record FleetBlock(
+public record FleetConfig(
         @JsonProperty("epoch") Integer epoch,
         @JsonProperty("version") Integer version,
         @JsonProperty("probe_ms") Integer probeMs,
@@ -27,7 +27,7 @@
         @JsonProperty("reserve") Double reserve,
         @JsonProperty("drift_ppm") Integer driftPpm,
         @JsonProperty("stale_ms") Integer staleMs,
-        @JsonProperty("lanes") List<LaneBlock> lanes) {
+        @JsonProperty("lanes") List<LaneConfig> lanes) {
     private static final int MAX_MS = 60_000;
 
     /**
@@ -40,7 +40,7 @@
      * @param quota messages per second that an account may send in it; 0 (the default) means no bound
      * @param rest whether it gets all accounts that no lane names; without such a lane the last one does
      */
-    public record LaneBlock(
+    public record LaneConfig(
             @JsonProperty("name") String name,
             @JsonProperty("tenants") List<String> tenants,
             @JsonProperty("classes") List<String> classes,
@@ -52,7 +52,7 @@
          *
          * @throws IllegalArgumentException for a value out of bounds
          */
-        public LaneBlock {
+        public LaneConfig {
             require(name != null && !name.isBlank(), "a lane has no name");
             tenants = tenants == null ? List.of() : List.copyOf(tenants);
             classes = classes == null ? List.of() : List.copyOf(classes);
@@ -71,7 +71,7 @@
      *
      * @throws IllegalArgumentException for a value out of bounds, in one line that names it
      */
-    public FleetBlock {
+    public FleetConfig {
         epoch = bounded("epoch", epoch, 0, 0, Integer.MAX_VALUE);
         version = bounded("version", version, 0, 0, Integer.MAX_VALUE);
         probeMs = bounded("probe_ms", probeMs, 1000, 100, MAX_MS);
@@ -85,14 +85,14 @@
     }
 
     private static Integer bounded(
-            final String name, final Integer value, final int absent, final int least, final int most) {
-        final int number = value == null ? absent : value;
-        require(number >= least && number <= most, "'" + name + "' is " + least + " to " + most + ", not " + number);
+            final String name, final Integer value, final int defaultValue, final int min, final int max) {
+        final int number = value == null ? defaultValue : value;
+        require(number >= min && number <= max, "'" + name + "' is " + min + " to " + max + ", not " + number);
         return number;
     }
 
-    private static void require(final boolean kept, final String problem) {
-        if (!kept) {
+    private static void require(final boolean condition, final String problem) {
+        if (!condition) {
             throw new IllegalArgumentException("fleet: " + problem);
         }
     }
--- a/src/main/java/driftchute/fleet/Codec.java
+++ b/src/main/java/driftchute/fleet/FrameCodec.java
@@ -12,19 +12,19 @@
  * Encodes and decodes frames: datagrams of at most 256 bytes (PROTOCOL-irishead.md, Between couriers) with a version,
  * the tier's epoch and messages. Invalid input is counted by reason and dropped; no input makes it throw.
  */
-public final class Codec {
+public final class FrameCodec {
     /** Maximum size of a datagram, bytes. A longer one violates the protocol. */
     public static final int MAX_BYTES = 256;
     /** Version of the frames that this release writes. */
     static final int VERSION = 1;
     /** Size of the version and the epoch, bytes. */
-    static final int HEADER = 5;
+    static final int HEADER_BYTES = 5;
     /** Size of the type and length before each body, bytes. */
-    static final int PREFIX = 2;
+    static final int PREFIX_BYTES = 2;
     /** Maximum body of a message that has a datagram to itself, bytes. */
-    public static final int MAX_BODY = MAX_BYTES - HEADER - PREFIX;
+    public static final int MAX_BODY = MAX_BYTES - HEADER_BYTES - PREFIX_BYTES;
 
-    private static final int BYTE = 0xFF;
+    private static final int BYTE_MASK = 0xFF;
 
     /** The reason for dropping a frame or one of its messages. Logged by name. */
     public enum Drop {
@@ -40,7 +40,7 @@
     private final EnumMap<Drop, Long> drops = new EnumMap<>(Drop.class);
 
     /** Creates a codec for frames of one epoch and the message types that these readers understand. */
-    public Codec(final int epoch, final Map<Integer, Message.Reader> readers) {
+    public FrameCodec(final int epoch, final Map<Integer, Message.Reader> readers) {
         this.epoch = epoch;
         this.readers = new HashMap<>(readers);
     }
@@ -51,7 +51,7 @@
      * @throws IllegalArgumentException if they exceed {@link #MOST_BYTES}, or one reports a wrong size
      */
     public byte[] encode(final List<Message> messages) {
-        final int size = HEADER + messages.stream().mapToInt(Codec::sizeOf).sum();
+        final int size = HEADER_BYTES + messages.stream().mapToInt(FrameCodec::sizeOf).sum();
         if (size > MAX_BYTES) {
             throw new IllegalArgumentException("a datagram of " + size + " bytes; " + MAX_BYTES + " is the maximum");
         }
@@ -70,48 +70,48 @@
 
     /** Size of a message in a datagram, bytes. */
     static int sizeOf(final Message message) {
-        return PREFIX + message.size();
+        return PREFIX_BYTES + message.size();
     }
 
     /** The messages of a datagram; none if it is dropped. Messages of unknown types are left out and counted. */
     public List<Message> decode(final byte[] datagram) {
-        if (datagram.length < HEADER || datagram.length > MAX_BYTES) {
-            return dropped(Drop.LENGTH);
+        if (datagram.length < HEADER_BYTES || datagram.length > MAX_BYTES) {
+            return countDrop(Drop.LENGTH);
         }
         final ByteBuffer from = ByteBuffer.wrap(datagram);
-        if ((from.get() & BYTE) != VERSION) {
-            return dropped(Drop.VERSION);
+        if ((from.get() & BYTE_MASK) != VERSION) {
+            return countDrop(Drop.VERSION);
         }
         if (from.getInt() != epoch) {
-            return dropped(Drop.EPOCH);
+            return countDrop(Drop.EPOCH);
         }
         final List<Message> messages = new ArrayList<>();
         while (from.hasRemaining()) {
-            final int type = from.get() & BYTE;
-            final int length = from.hasRemaining() ? from.get() & BYTE : Integer.MAX_VALUE;
+            final int type = from.get() & BYTE_MASK;
+            final int length = from.hasRemaining() ? from.get() & BYTE_MASK : Integer.MAX_VALUE;
             if (length > from.remaining()) {
-                return dropped(Drop.LENGTH);
+                return countDrop(Drop.LENGTH);
             }
             final ByteBuffer body = from.slice(from.position(), length);
             from.position(from.position() + length);
             final Message.Reader reader = readers.get(type);
             if (reader == null) {
-                dropped(Drop.TYPE);
+                countDrop(Drop.TYPE);
                 continue;
             }
             try {
                 messages.add(reader.read(body));
             } catch (final MalformedMessageException | BufferUnderflowException | IllegalArgumentException e) {
-                return dropped(Drop.MALFORMED);
+                return countDrop(Drop.MALFORMED);
             }
             if (body.hasRemaining()) {
-                return dropped(Drop.MALFORMED);
+                return countDrop(Drop.MALFORMED);
             }
         }
         return messages;
     }
 
-    private List<Message> dropped(final Drop why) {
+    private List<Message> countDrop(final Drop why) {
         drops.merge(why, 1L, Long::sum);
         return List.of();
     }
--- a/src/main/java/driftchute/fleet/Duty.java
+++ b/src/main/java/driftchute/fleet/LeasedRole.java
@@ -7,15 +7,15 @@
  * A role that at most one courier holds at any time, under a fencing token that grows with every holder
  * (docs/fleet-leases.md). Times are on this courier's clocks.
  */
-public interface Duty {
+public interface LeasedRole {
     /** The holder of a role by its number in the tier, and its fencing token. */
-    record Holding(int courier, long token) {}
+    record Holder(int courier, long token) {}
 
     /** The token under which this courier holds the role at that time; empty if its lease may have expired. */
-    OptionalLong held(Moment now);
+    OptionalLong held(ClockReading now);
 
     /** The holder that this courier knows of, which may have lost the role since. */
-    Optional<Holding> holder(Moment now);
+    Optional<Holder> holder(ClockReading now);
 
     /** False for a token that a later holder has superseded, as far as this courier knows. */
     boolean accepts(long token);
--- a/src/main/java/driftchute/fleet/lane/Allocator.java
+++ b/src/main/java/driftchute/fleet/lane/Allocator.java
@@ -1,7 +1,7 @@
 package driftchute.fleet.lane;
 
-import driftchute.fleet.Events;
-import driftchute.fleet.Moment;
+import driftchute.fleet.EventLog;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
 import java.util.HashMap;
 import java.util.Map;
@@ -21,7 +21,7 @@
     private final int couriers;
     private final long token;
     private final LongSupplier sequence;
-    private final Events events;
+    private final EventLog events;
     private final DemandTable table;
     private final Map<Long, ShedLevel> levels = new HashMap<>();
     private final Map<Long, Integer> firstShed = new HashMap<>();
@@ -34,7 +34,7 @@
      * @param sequence numbers its messages in increasing order
      */
     Allocator(
-            final Lanes lanes, final int couriers, final long token, final LongSupplier sequence, final Events events) {
+            final Lanes lanes, final int couriers, final long token, final LongSupplier sequence, final EventLog events) {
         this.lanes = lanes;
         this.couriers = couriers;
         this.token = token;
@@ -60,7 +60,7 @@
      * Decides on all destinations and sends the levels to the couriers that use them. {@code heard}: levels of an
      * earlier allocator, which new ones continue.
      */
-    void decide(final Moment now, final Capacity capacity, final Map<Long, HeardLevel> heard, final Outbox out) {
+    void decide(final ClockReading now, final Capacity capacity, final Map<Long, HeardLevel> heard, final Outbox out) {
         table.expire(now.monoUs());
         levels.keySet().retainAll(table.destinations());
         epoch = Math.max(epoch, Math.max(0, now.wallMs()) / EPOCH_MS);
--- a/src/main/java/driftchute/fleet/lane/BlockVersions.java
+++ b/src/main/java/driftchute/fleet/lane/BlockVersions.java
@@ -1,11 +1,11 @@
 package driftchute.fleet.lane;
 
-import driftchute.fleet.Events;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.Message;
-import driftchute.fleet.Moment;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
-import driftchute.fleet.Part;
-import driftchute.fleet.Rider;
+import driftchute.fleet.Component;
+import driftchute.fleet.GossipSource;
 import driftchute.fleet.Tier;
 import java.util.HashMap;
 import java.util.List;
@@ -16,7 +16,7 @@
  * of the configured couriers has its version or a later one. Until then the stricter of the two applies
  * (docs/fleet-lanes.md).
  */
-public final class BlockVersions implements Part, Rider {
+public final class BlockVersions implements Component, GossipSource {
     /** When a change is sent to all, after it occurred: with 30% loss, one peer in a hundred has missed all four. */
     private static final long[] TOLD_AT_US = {0, 1_000_000, 3_000_000, 7_000_000};
     /** Interval of gossip about versions, us. It costs 3 to 5 bytes per second, whatever the fleet's size. */
@@ -28,7 +28,7 @@
     private static final int PREFIX = 2;
 
     private final Tier tier;
-    private final Events events;
+    private final EventLog events;
     private final Map<Integer, BlockMessage> peers = new HashMap<>();
     private Lanes inForce;
     private Lanes pending;
@@ -40,7 +40,7 @@
     private int behind;
 
     /** Starts with the only configuration that this courier has. */
-    public BlockVersions(final Tier tier, final Lanes first, final Events events) {
+    public BlockVersions(final Tier tier, final Lanes first, final EventLog events) {
         this.tier = tier;
         this.inForce = first;
         this.events = events;
@@ -61,7 +61,7 @@
      * Handles a configuration that was read again. One with a lower version, or the same version with other content, is
      * refused and logged. An identical one changes nothing.
      */
-    public void offer(final Moment now, final Lanes next) {
+    public void offer(final ClockReading now, final Lanes next) {
         if (next.digest() == latest().digest()) {
             return;
         }
@@ -76,7 +76,7 @@
         weigh();
     }
 
-    private void changed(final Moment now) {
+    private void changed(final ClockReading now) {
         changedUs = now.monoUs();
         rodeUs = changedUs;
         told = 0;
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void receive(final Moment now, final int from, final Message message, final Outbox out) {
+    public void receive(final ClockReading now, final int from, final Message message, final Outbox out) {
         if (!(message instanceof BlockMessage block) || from == tier.self()) {
             return;
         }
@@ -139,7 +139,7 @@
     }
 
     @Override
-    public long tick(final Moment now, final Outbox out) {
+    public long tick(final ClockReading now, final Outbox out) {
         if (!started) {
             changed(now);
         }
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public List<Message> ride(final Moment now, final int peer, final int room) {
+    public List<Message> gossip(final ClockReading now, final int peer, final int room) {
         final BlockMessage mine = mine(peer, true);
         if (!started || now.monoUs() - rodeUs < RIDE_US || mine.size() + PREFIX > room) {
             return List.of();
--- a/src/main/java/driftchute/fleet/lane/LanePart.java
+++ b/src/main/java/driftchute/fleet/lane/LanePart.java
@@ -1,10 +1,10 @@
 package driftchute.fleet.lane;
 
-import driftchute.fleet.Events;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.Message;
-import driftchute.fleet.Moment;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
-import driftchute.fleet.Part;
+import driftchute.fleet.Component;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.OptionalLong;
@@ -14,7 +14,7 @@
  * The lanes' component of the control plane: reports this courier's offered load to the allocator, decides if this
  * courier is the allocator, and stores the received levels, each for one lease time (docs/fleet-lanes.md).
  */
-public final class LanePart implements Part {
+public final class LanePart implements Component {
     /** Reports and decisions per lease time: two may be lost before a report expires. */
     private static final int IN_RATION_TIME = 3;
     /**
@@ -31,7 +31,7 @@
     private final Supplier<Lanes> current;
     private final Duty duty;
     private final Capacity capacity;
-    private final Events events;
+    private final EventLog events;
     private final Map<Long, Last> heard = new HashMap<>();
     private Map<Long, double[]> offered = Map.of();
     private long offeredUntilUs;
@@ -58,7 +58,7 @@
             final Supplier<Lanes> current,
             final Duty duty,
             final Capacity capacity,
-            final Events events) {
+            final EventLog events) {
         this.couriers = couriers;
         this.rationUs = rationUs;
         this.current = current;
@@ -69,13 +69,13 @@
     }
 
     /** Sets this courier's offered load, messages per second by destination and lane, from {@link Shedder#turn}. */
-    public void offered(final Moment now, final Map<Long, double[]> perSecond) {
+    public void offered(final ClockReading now, final Map<Long, double[]> perSecond) {
         offered = Map.copyOf(perSecond);
         offeredUntilUs = now.monoUs() + rationUs;
     }
 
     /** The view for the traffic. */
-    public LaneView view(final Moment now) {
+    public LaneView view(final ClockReading now) {
         forget(now);
         return new LaneView(lanes, levels());
     }
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void receive(final Moment now, final int from, final Message message, final Outbox out) {
+    public void receive(final ClockReading now, final int from, final Message message, final Outbox out) {
         adopt();
         if (message instanceof DemandMessage demand && holds(now)) {
             allocator.demand(from, demand, capacity.limit(demand.destination()), now.monoUs() + rationUs);
@@ -95,7 +95,7 @@
         }
     }
 
-    private void hear(final Moment now, final int from, final LevelMessage message) {
+    private void hear(final ClockReading now, final int from, final LevelMessage message) {
         final Last last = heard.get(message.destination());
         final boolean fromHolder = duty.accepts(message.version().token())
                 && duty.holder(now).map(holder -> holder == from).orElse(true);
@@ -124,7 +124,7 @@
         }
     }
 
-    private void forget(final Moment now) {
+    private void forget(final ClockReading now) {
         heard.values().removeIf(last -> now.monoUs() >= last.level.untilUs() + REMEMBERED_US);
     }
 
@@ -146,7 +146,7 @@
         }
     }
 
-    private boolean holds(final Moment now) {
+    private boolean holds(final ClockReading now) {
         final OptionalLong token = duty.held(now);
         if (token.isEmpty()) {
             allocator = null;
@@ -157,7 +157,7 @@
     }
 
     @Override
-    public long tick(final Moment now, final Outbox out) {
+    public long tick(final ClockReading now, final Outbox out) {
         if (now.monoUs() < dueUs) {
             return dueUs;
         }
--- a/src/main/java/driftchute/fleet/lane/Lanes.java
+++ b/src/main/java/driftchute/fleet/lane/Lanes.java
@@ -1,8 +1,8 @@
 package driftchute.fleet.lane;
 
 import driftchute.Courier;
-import driftchute.fleet.FleetBlock;
-import driftchute.fleet.FleetBlock.LaneBlock;
+import driftchute.fleet.FleetConfig;
+import driftchute.fleet.FleetConfig.LaneConfig;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -22,7 +22,7 @@
 
     private final int version;
     private final int digest;
-    private final List<LaneBlock> blocks;
+    private final List<LaneConfig> blocks;
     /** Lane by tenant and class; index 0 stands for none, the others are shifted by one. */
     private final int[][] lane;
 
@@ -31,7 +31,7 @@
     private Lanes(
             final int version,
             final int digest,
-            final List<LaneBlock> blocks,
+            final List<LaneConfig> blocks,
             final int[][] lane,
             final long[] accounts) {
         this.version = version;
@@ -48,15 +48,15 @@
      * shares
      *     above 1 in total, a tenant or class that the settings do not have, or one that is claimed twice
      */
-    public static Lanes of(final FleetBlock block, final Courier.Settings settings) {
-        final List<LaneBlock> blocks =
-                block.lanes().isEmpty() ? List.of(new LaneBlock("all", null, null, null, null, true)) : block.lanes();
+    public static Lanes of(final FleetConfig block, final Courier.Settings settings) {
+        final List<LaneConfig> blocks =
+                block.lanes().isEmpty() ? List.of(new LaneConfig("all", null, null, null, null, true)) : block.lanes();
         require(blocks.size() <= MAX, "at most " + MAX + " lanes, not " + blocks.size());
         final Set<String> names = new HashSet<>();
         int rest = -1;
         double shares = 0;
         for (int i = 0; i < blocks.size(); i++) {
-            final LaneBlock each = blocks.get(i);
+            final LaneConfig each = blocks.get(i);
             require(names.add(each.name()), "two lanes are named '" + each.name() + "'");
             require(!each.rest() || rest < 0, "lane '" + each.name() + "': another lane takes the rest already");
             rest = each.rest() ? i : rest;
@@ -67,9 +67,9 @@
                 settings.tenants().stream().map(Courier.Tenant::name).toList();
         final List<String> classes =
                 settings.classes().stream().map(Courier.MessageClass::name).toList();
-        final Map<String, Integer> byTenant = claims("tenant", blocks, LaneBlock::tenants, tenants, true);
+        final Map<String, Integer> byTenant = claims("tenant", blocks, LaneConfig::tenants, tenants, true);
         final boolean tenantsDecide = !tenants.isEmpty() && byTenant.keySet().containsAll(tenants);
-        final Map<String, Integer> byClass = claims("class", blocks, LaneBlock::classes, classes, !tenantsDecide);
+        final Map<String, Integer> byClass = claims("class", blocks, LaneConfig::classes, classes, !tenantsDecide);
         final int[][] lane = new int[tenants.size() + 1][classes.size() + 1];
         for (int t = 0; t <= tenants.size(); t++) {
             for (int c = 0; c <= classes.size(); c++) {
@@ -88,8 +88,8 @@
 
     private static Map<String, Integer> claims(
             final String what,
-            final List<LaneBlock> blocks,
-            final Function<LaneBlock, List<String>> claimed,
+            final List<LaneConfig> blocks,
+            final Function<LaneConfig, List<String>> claimed,
             final List<String> known,
             final boolean once) {
         final Map<String, Integer> claims = new HashMap<>();
@@ -107,9 +107,9 @@
         return claims;
     }
 
-    private static int digest(final int version, final List<LaneBlock> blocks) {
+    private static int digest(final int version, final List<LaneConfig> blocks) {
         final StringBuilder text = new StringBuilder().append(version);
-        for (final LaneBlock each : blocks) {
+        for (final LaneConfig each : blocks) {
             text.append('\n')
                     .append(each.name())
                     .append('\t')
@@ -147,12 +147,12 @@
                 lane[t][c] = Math.max(inForce.lane[t][c], named[pending.lane[t][c]]);
             }
         }
-        final List<LaneBlock> blocks = inForce.blocks.stream()
+        final List<LaneConfig> blocks = inForce.blocks.stream()
                 .map(old -> {
                     final int same = pending.indexOf(old.name());
                     return same < 0
                             ? old
-                            : new LaneBlock(
+                            : new LaneConfig(
                                     old.name(),
                                     old.tenants(),
                                     old.classes(),
@@ -195,7 +195,7 @@
 
     /** The guaranteed shares of all lanes. */
     double[] shares() {
-        return blocks.stream().mapToDouble(LaneBlock::share).toArray();
+        return blocks.stream().mapToDouble(LaneConfig::share).toArray();
     }
 
     /** Messages per second, over the fleet, that an account may send in the lane; 0 means no bound. */
--- a/src/main/java/driftchute/fleet/lane/Shedder.java
+++ b/src/main/java/driftchute/fleet/lane/Shedder.java
@@ -1,6 +1,6 @@
 package driftchute.fleet.lane;
 
-import driftchute.fleet.Events;
+import driftchute.fleet.EventLog;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -16,7 +16,7 @@
     private static final long IDLE_US = 60_000_000;
 
     private final long rationUs;
-    private final Events events;
+    private final EventLog events;
     private final Map<Long, LaneState> states = new LinkedHashMap<>();
     private final Map<Long, Integer> aloneFrom = new HashMap<>();
     private Map<Long, HeardLevel> levels = Map.of();
@@ -27,7 +27,7 @@
      *
      * @param rationUs how long a new destination waits for a level before this courier decides by itself, us
      */
-    public Shedder(final long rationUs, final Lanes lanes, final Events events) {
+    public Shedder(final long rationUs, final Lanes lanes, final EventLog events) {
         this.rationUs = rationUs;
         this.lanes = lanes;
         this.events = events;
--- a/src/main/java/driftchute/fleet/lease/Acceptor.java
+++ b/src/main/java/driftchute/fleet/lease/Acceptor.java
@@ -7,16 +7,16 @@
  */
 final class Acceptor {
     /** A ballot with an expiry time. */
-    private record Timed(Ballot ballot, long untilUs) {}
+    private record ExpiringBallot(Ballot ballot, long untilUs) {}
 
-    private final Terms terms;
-    private Timed lock;
-    private Timed promise;
+    private final LeaseTiming timing;
+    private ExpiringBallot lock;
+    private ExpiringBallot promise;
     private Ballot released;
     private long fence;
 
-    Acceptor(final Terms terms) {
-        this.terms = terms;
+    Acceptor(final LeaseTiming timing) {
+        this.timing = timing;
     }
 
     /** True if it accepts proposals of that ballot; the ballot is promised then. */
@@ -24,7 +24,7 @@
         if (ballot.token() <= fence || promised(nowUs) > ballot.token() || lockedUs(nowUs, ballot) > 0) {
             return false;
         }
-        promise = new Timed(ballot, nowUs + terms.promiseUs());
+        promise = new ExpiringBallot(ballot, nowUs + timing.promiseUs());
         return true;
     }
 
@@ -45,7 +45,7 @@
         if (ballot.token() < fence || covers(released, ballot) || lockedUs(nowUs, ballot) > 0) {
             return false;
         }
-        lock = new Timed(ballot, nowUs + terms.leaseUs());
+        lock = new ExpiringBallot(ballot, nowUs + timing.leaseUs());
         fence = ballot.token();
         return true;
     }
--- a/src/main/java/driftchute/fleet/lease/Refusal.java
+++ b/src/main/java/driftchute/fleet/lease/AcceptorRefusal.java
@@ -14,7 +14,7 @@
  * @param token the highest token that prevents it, 0 if none
  * @param lockedMs how long the acceptor is still locked by another process, ms; 0 if it is not
  */
-record Refusal(int duty, int life, long serial, long token, long lockedMs) implements Message {
+record AcceptorRefusal(int role, int processId, long serial, long token, long lockedMs) implements Message {
     static final int REFUSED = 0x26;
 
     @Override
@@ -24,19 +24,19 @@
 
     @Override
     public int size() {
-        return Varint.size(duty) + Integer.BYTES + Varint.size(serial) + Varint.size(token) + Varint.size(lockedMs);
+        return Varint.size(role) + Integer.BYTES + Varint.size(serial) + Varint.size(token) + Varint.size(lockedMs);
     }
 
     @Override
     public void write(final ByteBuffer into) {
-        Varint.put(into, duty);
-        into.putInt(life);
+        Varint.put(into, role);
+        into.putInt(processId);
         Varint.put(into, serial);
         Varint.put(into, token);
         Varint.put(into, lockedMs);
     }
 
     static Message read(final ByteBuffer body) throws MalformedMessageException {
-        return new Refusal(Answer.dutyIn(body), body.getInt(), Varint.get(body), Varint.get(body), Varint.get(body));
+        return new AcceptorRefusal(AcceptorReply.readRole(body), body.getInt(), Varint.get(body), Varint.get(body), Varint.get(body));
     }
 }
--- a/src/main/java/driftchute/fleet/lease/Answer.java
+++ b/src/main/java/driftchute/fleet/lease/AcceptorReply.java
@@ -13,9 +13,9 @@
  * @param life the process that asked
  * @param serial number of its request
  */
-record Answer(int type, int duty, int life, long serial) implements Message {
+record AcceptorReply(int type, int role, int processId, long serial) implements Message {
     /** Reply to a prepare: promised. */
-    static final int OPEN = 0x24;
+    static final int PROMISED = 0x24;
     /** Reply to a propose or renew: accepted. */
     static final int ACCEPTED = 0x25;
     /** Maximum number of roles in a tier, so that a role number takes one byte. */
@@ -23,21 +23,21 @@
 
     @Override
     public int size() {
-        return Varint.size(duty) + Integer.BYTES + Varint.size(serial);
+        return Varint.size(role) + Integer.BYTES + Varint.size(serial);
     }
 
     @Override
     public void write(final ByteBuffer into) {
-        Varint.put(into, duty);
-        into.putInt(life);
+        Varint.put(into, role);
+        into.putInt(processId);
         Varint.put(into, serial);
     }
 
     static Message read(final int type, final ByteBuffer body) throws MalformedMessageException {
-        return new Answer(type, dutyIn(body), body.getInt(), Varint.get(body));
+        return new AcceptorReply(type, readRole(body), body.getInt(), Varint.get(body));
     }
 
-    static int dutyIn(final ByteBuffer body) throws MalformedMessageException {
+    static int readRole(final ByteBuffer body) throws MalformedMessageException {
         final long duty = Varint.get(body);
         if (duty >= MAX_DUTIES) {
             throw new MalformedMessageException("invalid role number " + duty);
--- a/src/main/java/driftchute/fleet/lease/Terms.java
+++ b/src/main/java/driftchute/fleet/lease/LeaseTiming.java
@@ -7,7 +7,7 @@
  * @param holderUs how long a holder counts on a lease, from before it sent the request
  * @param waitUs how long a started process sends no replies
  */
-record Terms(long leaseUs, long holderUs, long waitUs) {
+record LeaseTiming(long leaseUs, long holderUs, long startupWaitUs) {
     private static final long MS = 1000;
     private static final long MILLION = 1_000_000;
     /** In a shorter lease, an attempt (a quarter of it) has no time for two round trips. */
@@ -23,7 +23,7 @@
      *
      * @throws IllegalArgumentException for a lease outside 20 ms to 1 h or a drift outside 0 to 100,000
      */
-    static Terms of(final long leaseUs, final int driftPpm) {
+    static LeaseTiming of(final long leaseUs, final int driftPpm) {
         if (leaseUs < MIN_US || leaseUs > MAX_US) {
             throw new IllegalArgumentException("a lease must be " + MIN_US + " to " + MAX_US + " us, not " + leaseUs);
         }
@@ -32,7 +32,7 @@
         }
         final long whole = leaseUs / MS * MS;
         final long margin = (2 * whole * driftPpm + MILLION - 1) / MILLION;
-        return new Terms(whole, whole - margin, whole + margin);
+        return new LeaseTiming(whole, whole - margin, whole + margin);
     }
 
     /** The lease in ms, as sent in messages. */
@@ -46,7 +46,7 @@
     }
 
     /** Interval between repetitions of a request: eight fit between a renewal and the lease's end. */
-    long againUs() {
+    long repeatUs() {
         return leaseUs / 16;
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Difference between the delays of successive ranks: several round trips, and sixteen ranks in half a lease. */
-    long stepUs() {
+    long rankStepUs() {
         return leaseUs / 32;
     }
 }
--- a/src/main/java/driftchute/fleet/lease/Request.java
+++ b/src/main/java/driftchute/fleet/lease/ProposerRequest.java
@@ -15,7 +15,7 @@
  * @param round the ballot's round
  * @param leaseMs the sender's lease time, ms
  */
-record Request(int type, int duty, int life, long serial, long round, long leaseMs) implements Message {
+record ProposerRequest(int type, int role, int processId, long serial, long round, long leaseMs) implements Message {
     /** Asks for a promise to accept a ballot. */
     static final int PREPARE = 0x20;
     /** Proposes the sender as holder. */
@@ -27,20 +27,20 @@
 
     @Override
     public int size() {
-        return Varint.size(duty) + Integer.BYTES + Varint.size(serial) + Varint.size(round) + Varint.size(leaseMs);
+        return Varint.size(role) + Integer.BYTES + Varint.size(serial) + Varint.size(round) + Varint.size(leaseMs);
     }
 
     @Override
     public void write(final ByteBuffer into) {
-        Varint.put(into, duty);
-        into.putInt(life);
+        Varint.put(into, role);
+        into.putInt(processId);
         Varint.put(into, serial);
         Varint.put(into, round);
         Varint.put(into, leaseMs);
     }
 
     static Message read(final int type, final ByteBuffer body) throws MalformedMessageException {
-        return new Request(
-                type, Answer.dutyIn(body), body.getInt(), Varint.get(body), Varint.get(body), Varint.get(body));
+        return new ProposerRequest(
+                type, AcceptorReply.readRole(body), body.getInt(), Varint.get(body), Varint.get(body), Varint.get(body));
     }
 }
--- a/src/main/java/driftchute/fleet/lease/Poll.java
+++ b/src/main/java/driftchute/fleet/lease/QuorumRequest.java
@@ -1,22 +1,22 @@
 package driftchute.fleet.lease;
 
-import driftchute.fleet.Moment;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
 import java.util.Arrays;
 import java.util.BitSet;
 
 /** A request to all acceptors, repeated to those that have not replied, and their replies. */
-final class Poll {
+final class QuorumRequest {
     /**
      * Number of sendings after which a request that a majority has accepted is not repeated: the remaining acceptors
      * may be dead.
      */
-    private static final int ENOUGH = 3;
+    private static final int MAX_SENDINGS_WITH_MAJORITY = 3;
 
     private static final long US_PER_MS = 1000;
 
-    private final Seat seat;
-    private final Request request;
+    private final RoleCandidate candidate;
+    private final ProposerRequest request;
     private final Ballot ballot;
     private final long sinceUs;
     private final BitSet agreed = new BitSet();
@@ -25,21 +25,21 @@
     private int sendings;
     private long nextUs;
 
-    Poll(final Seat seat, final Request request, final long nowUs) {
-        this.seat = seat;
+    QuorumRequest(final RoleCandidate candidate, final ProposerRequest request, final long nowUs) {
+        this.candidate = candidate;
         this.request = request;
-        this.ballot = new Ballot(seat.tier().self(), seat.life(), request.round());
+        this.ballot = new Ballot(candidate.tier().self(), candidate.processId(), request.round());
         this.sinceUs = nowUs;
         this.nextUs = nowUs;
-        this.lockedUs = new long[seat.tier().size()];
+        this.lockedUs = new long[candidate.tier().size()];
     }
 
     /** Sends the request to those that have not replied, if it is due. */
-    void tick(final Moment now, final Outbox out) {
+    void tick(final ClockReading now, final Outbox out) {
         if (now.monoUs() < nextUs) {
             return;
         }
-        if (sendings >= ENOUGH && won()) {
+        if (sendings >= MAX_SENDINGS_WITH_MAJORITY && won()) {
             nextUs = Long.MAX_VALUE;
             return;
         }
@@ -49,7 +49,7 @@
             }
         }
         sendings++;
-        nextUs = now.monoUs() + seat.terms().againUs();
+        nextUs = now.monoUs() + candidate.timing().repeatUs();
     }
 
     /** True if this is the first reply of that courier. */
@@ -66,38 +66,38 @@
         final boolean first = !agreed.get(from) && !refused.get(from);
         if (first) {
             refused.set(from);
-            lockedUs[from] = Math.min(lockedMs, seat.terms().leaseMs()) * US_PER_MS;
+            lockedUs[from] = Math.min(lockedMs, candidate.timing().leaseMs()) * US_PER_MS;
         }
         return first;
     }
 
     boolean won() {
-        return agreed.cardinality() >= seat.tier().majority();
+        return agreed.cardinality() >= candidate.tier().majority();
     }
 
     /** True if too many have refused. */
     boolean lost() {
-        return lockedUs.length - refused.cardinality() < seat.tier().majority();
+        return lockedUs.length - refused.cardinality() < candidate.tier().majority();
     }
 
     /** Time until a majority is not locked by others, according to the replies, us; 0 if that may be now. */
     long majorityLockedUs() {
         final long[] sorted = lockedUs.clone();
         Arrays.sort(sorted);
-        return sorted[seat.tier().majority() - 1];
+        return sorted[candidate.tier().majority() - 1];
     }
 
     /** True if that positive reply belongs to this request. */
-    boolean takes(final Answer answer) {
-        return request.serial() == answer.serial() && prepares() == (answer.type() == Answer.OPEN);
+    boolean isAnsweredBy(final AcceptorReply answer) {
+        return request.serial() == answer.serial() && isPrepare() == (answer.type() == AcceptorReply.PROMISED);
     }
 
-    boolean takes(final Refusal refusal) {
+    boolean isAnsweredBy(final AcceptorRefusal refusal) {
         return request.serial() == refusal.serial();
     }
 
-    boolean prepares() {
-        return request.type() == Request.PREPARE;
+    boolean isPrepare() {
+        return request.type() == ProposerRequest.PREPARE;
     }
 
     Ballot ballot() {
--- a/src/main/java/driftchute/fleet/lease/Holding.java
+++ b/src/main/java/driftchute/fleet/lease/RoleHolder.java
@@ -6,4 +6,4 @@
  * @param courier its number in the tier
  * @param token fencing token, which grows with every acquisition
  */
-public record Holding(int courier, long token) {}
+public record RoleHolder(int courier, long token) {}
--- a/src/main/java/driftchute/fleet/membership/State.java
+++ b/src/main/java/driftchute/fleet/membership/MemberState.java
@@ -4,7 +4,7 @@
  * The state of a courier. For the same incarnation a later constant outranks an earlier one (SWIM, section 4.2). Sent
  * by ordinal and logged by name.
  */
-public enum State {
+public enum MemberState {
     /** Nothing was heard of it. */
     UNKNOWN,
     /** It answers. */
--- a/src/main/java/driftchute/fleet/membership/Members.java
+++ b/src/main/java/driftchute/fleet/membership/MemberTable.java
@@ -1,6 +1,6 @@
 package driftchute.fleet.membership;
 
-import driftchute.fleet.Events;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.Message;
 import driftchute.fleet.Tier;
 import java.util.ArrayList;
@@ -16,55 +16,55 @@
  * What this courier knows about each courier of the tier, how claims change it, and what has still to be gossiped
  * (docs/fleet-membership.md, Lies: the precedence of claims).
  */
-final class Members {
+final class MemberTable {
     /** Maximum distance of a claimed incarnation above the one heard first hand. */
     static final long MAX_JUMP = 1L << 20;
     /** Size of the type and length before a message's body, bytes. */
-    private static final int PREFIX = 2;
+    private static final int PREFIX_BYTES = 2;
 
     private final Tier tier;
-    private final Timing timing;
-    private final Events events;
-    private final LongConsumer keep;
+    private final MembershipTiming timing;
+    private final EventLog events;
+    private final LongConsumer storeIncarnation;
     private final LocalHealth health;
     private final List<Member> members = new ArrayList<>();
     private final Member self;
-    private final List<Member> spreading = new ArrayList<>();
+    private final List<Member> toGossip = new ArrayList<>();
     private final Set<Member> suspects = new LinkedHashSet<>();
-    private long mayRaiseUs;
+    private long nextRaiseUs;
     private long refused;
 
-    Members(
+    MemberTable(
             final Tier tier,
-            final Timing timing,
+            final MembershipTiming timing,
             final long incarnation,
             final long nowUs,
             final LocalHealth health,
-            final Events events,
-            final LongConsumer keep) {
+            final EventLog events,
+            final LongConsumer storeIncarnation) {
         if (incarnation < 1 || incarnation >= Claim.MAX_INCARNATION) {
             throw new IllegalArgumentException("invalid initial incarnation " + incarnation);
         }
         this.tier = tier;
         this.timing = timing;
         this.events = events;
-        this.keep = keep;
+        this.storeIncarnation = storeIncarnation;
         this.health = health;
-        this.mayRaiseUs = nowUs;
+        this.nextRaiseUs = nowUs;
         for (int id = 0; id < tier.size(); id++) {
             members.add(new Member(id));
         }
         self = members.get(tier.self());
-        keep.accept(incarnation);
-        changed(self, new Claim(State.ALIVE, incarnation), self.id);
+        storeIncarnation.accept(incarnation);
+        setClaim(self, new Claim(MemberState.ALIVE, incarnation), self.id);
     }
 
     Claim claim(final int id) {
         return members.get(id).claim;
     }
 
-    Messages.Rumour rumour(final int id) {
-        return members.get(id).rumour();
+    Messages.Gossip gossipAbout(final int id) {
+        return members.get(id).gossip();
     }
 
     boolean isPresent(final int id) {
@@ -80,7 +80,7 @@
     }
 
     boolean hasLeft() {
-        return self.claim.state() == State.LEFT;
+        return self.claim.state() == MemberState.LEFT;
     }
 
     /** Number of claims refused as implausible. */
@@ -99,18 +99,18 @@
     }
 
     /** Handles a courier's own incarnation number, received from itself. */
-    void spoken(final int id, final long incarnation) {
+    void onOwnIncarnation(final int id, final long incarnation) {
         final Member member = members.get(id);
-        final Claim alive = new Claim(State.ALIVE, incarnation);
+        final Claim alive = new Claim(MemberState.ALIVE, incarnation);
         if (member.claim.incarnation() - incarnation > MAX_JUMP) {
             refused++;
-            member.heard = incarnation;
-            changed(member, alive, id);
+            member.reportedIncarnation = incarnation;
+            setClaim(member, alive, id);
             return;
         }
-        member.heard = Math.max(member.heard, incarnation);
+        member.reportedIncarnation = Math.max(member.reportedIncarnation, incarnation);
         if (alive.compareTo(member.claim) > 0) {
-            changed(member, alive, id);
+            setClaim(member, alive, id);
         }
     }
 
@@ -120,48 +120,48 @@
      * @param by the courier that made the claim
      * @return whether this courier knows something newer that the sender should be told
      */
-    boolean told(final long nowUs, final int id, final Claim claim, final int by) {
+    boolean onClaim(final long nowUs, final int id, final Claim claim, final int by) {
         final Member member = members.get(id);
-        if (claim.state() == State.UNKNOWN) {
+        if (claim.state() == MemberState.UNKNOWN) {
             return false;
         }
         if (member == self) {
-            toldOfSelf(nowUs, claim, by);
+            onClaimAboutSelf(nowUs, claim, by);
             return false;
         }
-        if (member.heard >= 0 && claim.incarnation() - member.heard > MAX_JUMP) {
+        if (member.reportedIncarnation >= 0 && claim.incarnation() - member.reportedIncarnation > MAX_JUMP) {
             refused++;
             return false;
         }
         final int order = claim.compareTo(member.claim);
         if (order == 0 && member.suspicion != null) {
-            confirmed(member, by);
-        } else if (order > 0 && claim.state() == State.DEAD && member.isPresent()) {
-            suspected(nowUs, member, claim.incarnation(), by);
-            member.suspicion.certain();
-        } else if (order > 0 && claim.state() == State.SUSPECT) {
-            suspected(nowUs, member, claim.incarnation(), by);
+            confirmSuspicion(member, by);
+        } else if (order > 0 && claim.state() == MemberState.DEAD && member.isPresent()) {
+            suspect(nowUs, member, claim.incarnation(), by);
+            member.suspicion.confirmFully();
+        } else if (order > 0 && claim.state() == MemberState.SUSPECT) {
+            suspect(nowUs, member, claim.incarnation(), by);
         } else if (order > 0) {
-            changed(member, claim, by);
+            setClaim(member, claim, by);
         }
         return order < 0;
     }
 
-    private void toldOfSelf(final long nowUs, final Claim claim, final int by) {
-        final boolean accused = claim.state() != State.ALIVE;
+    private void onClaimAboutSelf(final long nowUs, final Claim claim, final int by) {
+        final boolean accused = claim.state() != MemberState.ALIVE;
         if (hasLeft() || claim.incarnation() < incarnation() || !accused && claim.incarnation() == incarnation()) {
             return;
         }
         if (claim.incarnation() - incarnation() > MAX_JUMP
                 || claim.incarnation() >= Claim.MAX_INCARNATION
-                || nowUs < mayRaiseUs) {
+                || nowUs < nextRaiseUs) {
             refused++;
             return;
         }
-        mayRaiseUs = nowUs + timing.gossipUs();
+        nextRaiseUs = nowUs + timing.gossipUs();
         final long raised = claim.incarnation() + 1;
-        keep.accept(raised);
-        changed(self, new Claim(State.ALIVE, raised), self.id);
+        storeIncarnation.accept(raised);
+        setClaim(self, new Claim(MemberState.ALIVE, raised), self.id);
         if (accused) {
             health.worse();
         }
@@ -170,17 +170,17 @@
     }
 
     /** A probe by this courier was not answered. */
-    void accuse(final long nowUs, final int id) {
+    void onProbeFailed(final long nowUs, final int id) {
         final Member member = members.get(id);
         if (!member.isPresent()) {
             return;
         }
         if (member.suspicion == null) {
-            suspected(nowUs, member, member.claim.incarnation(), self.id);
+            suspect(nowUs, member, member.claim.incarnation(), self.id);
         } else {
-            confirmed(member, self.id);
+            confirmSuspicion(member, self.id);
         }
-        member.suspicion.askAt(nowUs);
+        member.suspicion.probeAt(nowUs);
     }
 
     /** True if this courier itself accuses that suspect. */
@@ -188,33 +188,33 @@
         return suspect.suspicion.isAccuser(self.id);
     }
 
-    private void suspected(final long nowUs, final Member member, final long incarnation, final int by) {
-        final Claim suspect = new Claim(State.SUSPECT, incarnation);
+    private void suspect(final long nowUs, final Member member, final long incarnation, final int by) {
+        final Claim suspect = new Claim(MemberState.SUSPECT, incarnation);
         if (!suspect.equals(member.claim)) {
-            changed(member, suspect, by);
+            setClaim(member, suspect, by);
             member.suspicion = new Suspicion(timing, nowUs, by);
             suspects.add(member);
         }
     }
 
-    private void confirmed(final Member member, final int by) {
+    private void confirmSuspicion(final Member member, final int by) {
         if (member.suspicion.confirm(by)) {
-            member.by = by;
-            spread(member);
+            member.claimedBy = by;
+            scheduleGossip(member);
         }
     }
 
     /** Declares the suspects dead whose time to refute has passed. */
-    void bury(final long nowUs) {
+    void declareDead(final long nowUs) {
         for (final Member member : suspects()) {
             if (member.suspicion.deadlineUs() <= nowUs) {
-                changed(member, new Claim(State.DEAD, member.claim.incarnation()), self.id);
+                setClaim(member, new Claim(MemberState.DEAD, member.claim.incarnation()), self.id);
             }
         }
     }
 
     /** This process was suspended, so no suspect's time to refute counts up to now. */
-    void doubt(final long nowUs) {
+    void restartSuspicions(final long nowUs) {
         suspects.forEach(member -> member.suspicion.restart(nowUs));
     }
 
@@ -222,7 +222,7 @@
     long dueUs() {
         long due = Long.MAX_VALUE;
         for (final Member member : suspects) {
-            due = Math.min(due, Math.min(member.suspicion.deadlineUs(), member.suspicion.askUs()));
+            due = Math.min(due, Math.min(member.suspicion.deadlineUs(), member.suspicion.probeUs()));
         }
         return due;
     }
@@ -231,19 +231,19 @@
      * Marks this courier as leaving and returns the message about it. The caller sends it, so it is not gossiped as
      * well.
      */
-    Messages.Rumour leave() {
-        changed(self, new Claim(State.LEFT, incarnation()), self.id);
-        spreading.remove(self);
-        return self.rumour();
+    Messages.Gossip leave() {
+        setClaim(self, new Claim(MemberState.LEFT, incarnation()), self.id);
+        toGossip.remove(self);
+        return self.gossip();
     }
 
-    private void changed(final Member member, final Claim claim, final int by) {
-        final State before = member.claim.state();
+    private void setClaim(final Member member, final Claim claim, final int by) {
+        final MemberState before = member.claim.state();
         member.claim = claim;
-        member.by = by;
+        member.claimedBy = by;
         member.suspicion = null;
         suspects.remove(member);
-        spread(member);
+        scheduleGossip(member);
         // Only members that were present can leave or die: a courier that starts reports no old deaths.
         final boolean news =
                 claim.state() != before && (before.isPresent() || claim.state().isPresent());
@@ -253,44 +253,44 @@
                         case SUSPECT -> "member_suspected";
                         case DEAD -> "member_dead";
                         case LEFT -> "member_left";
-                        default -> before == State.SUSPECT ? "member_cleared" : "member_joined";
+                        default -> before == MemberState.SUSPECT ? "member_cleared" : "member_joined";
                     };
             events.event(name, "member", member.id, "incarnation", claim.incarnation(), "by", by);
         }
     }
 
-    private void spread(final Member member) {
-        member.sent = 0;
-        if (tier.size() > 1 && !spreading.contains(member)) {
-            spreading.add(member);
+    private void scheduleGossip(final Member member) {
+        member.timesSent = 0;
+        if (tier.size() > 1 && !toGossip.contains(member)) {
+            toGossip.add(member);
         }
     }
 
-    boolean isSpreading() {
-        return !spreading.isEmpty();
+    boolean hasGossip() {
+        return !toGossip.isEmpty();
     }
 
     /** The gossip that fits into that many bytes, the least often sent first. */
-    List<Message> rumours(final int peer, final int room) {
-        final List<Message> rumours = new ArrayList<>();
+    List<Message> gossip(final int peer, final int maxBytes) {
+        final List<Message> messages = new ArrayList<>();
         if (!isPresent(peer)) {
-            return rumours;
+            return messages;
         }
-        spreading.sort(Comparator.comparingInt(member -> member.sent));
-        int left = room;
-        for (final Member member : spreading) {
-            final Messages.Rumour rumour = member.rumour();
-            final int size = PREFIX + rumour.size();
+        toGossip.sort(Comparator.comparingInt(member -> member.timesSent));
+        int freeBytes = maxBytes;
+        for (final Member member : toGossip) {
+            final Messages.Gossip gossip = member.gossip();
+            final int size = PREFIX_BYTES + gossip.size();
             if (member.id == peer) {
                 // Pings and acks already tell the peer about itself. It counts as sent, since the two may be alone.
-                member.sent++;
-            } else if (size <= left) {
-                rumours.add(rumour);
-                left -= size;
-                member.sent++;
+                member.timesSent++;
+            } else if (size <= freeBytes) {
+                messages.add(gossip);
+                freeBytes -= size;
+                member.timesSent++;
             }
         }
-        spreading.removeIf(member -> member.sent >= timing.sendings());
-        return rumours;
+        toGossip.removeIf(member -> member.timesSent >= timing.maxSendings());
+        return messages;
     }
 }
--- a/src/main/java/driftchute/fleet/membership/Membership.java
+++ b/src/main/java/driftchute/fleet/membership/Membership.java
@@ -1,11 +1,11 @@
 package driftchute.fleet.membership;
 
-import driftchute.fleet.Events;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.Message;
-import driftchute.fleet.Moment;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
-import driftchute.fleet.Part;
-import driftchute.fleet.Rider;
+import driftchute.fleet.Component;
+import driftchute.fleet.GossipSource;
 import driftchute.fleet.Tier;
 import driftchute.fleet.Varint;
 import java.util.ArrayList;
@@ -21,27 +21,27 @@
  * as described in docs/fleet-membership.md. It is a hint for distributing work; nothing safety-critical may depend on
  * it. Implausible claims are refused and counted.
  */
-public final class Membership implements Part, Rider {
+public final class Membership implements Component, GossipSource {
     private static final long MAX_PERIOD_US = 3_600_000_000L;
     /** Size of a table segment, bytes. It leaves space in the datagram for other messages to that courier. */
-    private static final int ROLL_BYTES = 160;
+    private static final int SEGMENT_BYTES = 160;
 
     private static final int US_PER_MS = 1000;
 
     private final Tier tier;
-    private final Timing timing;
-    private final Events events;
+    private final MembershipTiming timing;
+    private final EventLog events;
     private final LocalHealth health = new LocalHealth();
-    private final Members members;
+    private final MemberTable members;
     private final Prober prober;
     private final Map<Integer, Message.Reader> readers;
-    private final long joinedUs;
+    private final long joinUntilUs;
     private boolean joining = true;
-    private int tableFrom;
-    private int tableOf = -1;
-    private long tableUs;
-    private long gossipUs;
-    private long promisedUs;
+    private int nextTableRow;
+    private int tableSource = -1;
+    private long nextTableUs;
+    private long nextGossipUs;
+    private long promisedTickUs;
 
     /**
      * Creates the membership of a courier that starts and knows no other.
@@ -60,8 +60,8 @@
             final long periodUs,
             final long seed,
             final long incarnation,
-            final Moment start,
-            final Events events,
+            final ClockReading start,
+            final EventLog events,
             final LongConsumer incarnationToKeep) {
         if (periodUs < US_PER_MS || periodUs > MAX_PERIOD_US) {
             throw new IllegalArgumentException("the probe period is out of bounds: " + periodUs + " us");
@@ -69,14 +69,14 @@
         final Random random = new Random(seed);
         this.tier = tier;
         this.events = events;
-        timing = Timing.of(periodUs, tier.size());
-        members = new Members(tier, timing, incarnation, start.monoUs(), health, events, incarnationToKeep);
+        timing = MembershipTiming.of(periodUs, tier.size());
+        members = new MemberTable(tier, timing, incarnation, start.monoUs(), health, events, incarnationToKeep);
         prober = new Prober(timing, members, health, random, start.monoUs());
         readers = Messages.readers(tier.size());
-        joinedUs = start.monoUs() + timing.joinUs();
-        tableUs = start.monoUs();
-        gossipUs = start.monoUs();
-        promisedUs = start.monoUs();
+        joinUntilUs = start.monoUs() + timing.joinUs();
+        nextTableUs = start.monoUs();
+        nextGossipUs = start.monoUs();
+        promisedTickUs = start.monoUs();
     }
 
     /** The couriers that are present as far as this courier knows, itself included unless it has left. */
@@ -96,7 +96,7 @@
     }
 
     /** The state of that courier as far as this one knows. */
-    public State state(final int id) {
+    public MemberState state(final int id) {
         return members.claim(id).state();
     }
 
@@ -116,10 +116,10 @@
     }
 
     /** Tells several couriers at once that this one leaves. From then on it neither probes nor accuses. */
-    public void leave(final Moment now, final Outbox out) {
+    public void leave(final ClockReading now, final Outbox out) {
         if (!members.hasLeft()) {
-            final Messages.Rumour left = members.leave();
-            prober.some(timing.sendings(), Member::isPresent).forEach(id -> out.send(id, left));
+            final Messages.Gossip left = members.leave();
+            prober.randomMembers(timing.maxSendings(), Member::isPresent).forEach(id -> out.send(id, left));
         }
     }
 
@@ -129,125 +129,125 @@
     }
 
     @Override
-    public void receive(final Moment now, final int from, final Message message, final Outbox out) {
+    public void receive(final ClockReading now, final int from, final Message message, final Outbox out) {
         final long nowUs = now.monoUs();
-        doubtAfterPause(nowUs);
+        detectSuspension(nowUs);
         if (message instanceof Messages.Ping ping) {
-            greeted(nowUs, from, ping.incarnation(), ping.notice());
+            onContact(nowUs, from, ping.incarnation(), ping.claim());
             out.send(from, new Messages.Ack(ping.sequence(), members.incarnation(), members.claim(from)));
             if (members.hasLeft()) {
-                out.send(from, members.rumour(tier.self()));
+                out.send(from, members.gossipAbout(tier.self()));
             }
         } else if (message instanceof Messages.Ack ack) {
-            greeted(nowUs, from, ack.incarnation(), ack.notice());
-            prober.acked(from, ack, out);
+            onContact(nowUs, from, ack.incarnation(), ack.claim());
+            prober.onAck(from, ack, out);
         } else if (message instanceof Messages.PingRequest request) {
             if (!members.hasLeft()) {
-                prober.asked(nowUs, from, request, out);
+                prober.onPingRequest(nowUs, from, request, out);
             }
         } else if (message instanceof Messages.Relayed relayed) {
-            prober.relayed(nowUs, from, relayed);
+            prober.onRelayed(nowUs, from, relayed);
         } else if (message instanceof Messages.Nack nack) {
-            prober.nacked(from, nack);
-        } else if (message instanceof Messages.Rumour rumour) {
-            if (members.told(nowUs, rumour.member(), rumour.claim(), rumour.by()) && rumour.member() != from) {
-                out.send(from, members.rumour(rumour.member()));
+            prober.onNack(from, nack);
+        } else if (message instanceof Messages.Gossip gossip) {
+            if (members.onClaim(nowUs, gossip.member(), gossip.claim(), gossip.by()) && gossip.member() != from) {
+                out.send(from, members.gossipAbout(gossip.member()));
             }
-        } else if (message instanceof Messages.Ask ask) {
-            out.send(from, roll(ask.first()));
-        } else if (message instanceof Messages.Roll roll) {
-            rollHeard(nowUs, from, roll);
+        } else if (message instanceof Messages.TableRequest request) {
+            out.send(from, tableSegment(request.first()));
+        } else if (message instanceof Messages.TableSegment segment) {
+            onTableSegment(nowUs, from, segment);
         }
     }
 
-    private void greeted(final long nowUs, final int from, final long incarnation, final Claim notice) {
-        members.spoken(from, incarnation);
-        members.told(nowUs, tier.self(), notice, from);
+    private void onContact(final long nowUs, final int from, final long incarnation, final Claim notice) {
+        members.onOwnIncarnation(from, incarnation);
+        members.onClaim(nowUs, tier.self(), notice, from);
     }
 
-    private Messages.Roll roll(final int first) {
+    private Messages.TableSegment tableSegment(final int first) {
         final List<Claim> claims = new ArrayList<>();
         int bytes = 0;
-        for (int id = first; id < tier.size() && bytes < ROLL_BYTES; id++) {
+        for (int id = first; id < tier.size() && bytes < SEGMENT_BYTES; id++) {
             claims.add(members.claim(id));
             bytes += Varint.size(members.claim(id).packed());
         }
-        return new Messages.Roll(first, claims);
+        return new Messages.TableSegment(first, claims);
     }
 
-    private void rollHeard(final long nowUs, final int from, final Messages.Roll roll) {
-        if (from != tableOf || roll.first() != tableFrom) {
+    private void onTableSegment(final long nowUs, final int from, final Messages.TableSegment segment) {
+        if (from != tableSource || segment.first() != nextTableRow) {
             return;
         }
-        tableOf = -1;
-        for (int i = 0; i < roll.claims().size(); i++) {
-            final int id = roll.first() + i;
-            final Claim claim = roll.claims().get(i);
+        tableSource = -1;
+        for (int i = 0; i < segment.claims().size(); i++) {
+            final int id = segment.first() + i;
+            final Claim claim = segment.claims().get(i);
             // A known claim is not treated as another accusation, because the table does not say who made it.
             if (claim.compareTo(members.claim(id)) > 0 && id != from) {
-                members.told(nowUs, id, claim, from);
+                members.onClaim(nowUs, id, claim, from);
             }
         }
-        tableFrom += roll.claims().size();
-        if (tableFrom >= tier.size()) {
-            tableFrom = 0;
+        nextTableRow += segment.claims().size();
+        if (nextTableRow >= tier.size()) {
+            nextTableRow = 0;
             joining = false;
         }
     }
 
     @Override
-    public long tick(final Moment now, final Outbox out) {
+    public long tick(final ClockReading now, final Outbox out) {
         final long nowUs = now.monoUs();
-        doubtAfterPause(nowUs);
+        detectSuspension(nowUs);
         if (!members.hasLeft()) {
             prober.tick(nowUs, out);
-            members.bury(nowUs);
-            askForTable(nowUs, out);
+            members.declareDead(nowUs);
+            requestTable(nowUs, out);
         }
-        if (members.isSpreading() && nowUs >= gossipUs) {
-            gossipUs = nowUs + timing.gossipUs();
-            prober.some(1, Member::isPresent).forEach(id -> out.send(id, new Messages.Carrier()));
+        if (members.hasGossip() && nowUs >= nextGossipUs) {
+            nextGossipUs = nowUs + timing.gossipUs();
+            prober.randomMembers(1, Member::isPresent).forEach(id -> out.send(id, new Messages.Carrier()));
         }
-        long due = members.isSpreading() ? gossipUs : nowUs + timing.periodUs();
+        long due = members.hasGossip() ? nextGossipUs : nowUs + timing.periodUs();
         if (!members.hasLeft()) {
-            due = Math.min(due, Math.min(tableUs, Math.min(members.dueUs(), prober.dueUs())));
+            due = Math.min(due, Math.min(nextTableUs, Math.min(members.dueUs(), prober.dueUs())));
         }
-        promisedUs = Math.max(nowUs + 1, due);
-        return promisedUs;
+        promisedTickUs = Math.max(nowUs + 1, due);
+        return promisedTickUs;
     }
 
-    private void askForTable(final long nowUs, final Outbox out) {
-        if (nowUs < tableUs) {
+    private void requestTable(final long nowUs, final Outbox out) {
+        if (nowUs < nextTableUs) {
             return;
         }
-        joining &= nowUs < joinedUs;
-        tableUs = nowUs + (joining ? timing.gossipUs() : timing.tableUs());
-        List<Integer> asked = prober.some(1, Member::isPresent);
+        joining &= nowUs < joinUntilUs;
+        nextTableUs = nowUs + (joining ? timing.gossipUs() : timing.tableUs());
+        List<Integer> asked = prober.randomMembers(1, Member::isPresent);
         if (asked.isEmpty()) {
-            asked = prober.some(1, member -> true);
+            asked = prober.randomMembers(1, member -> true);
         }
         for (final int id : asked) {
-            tableOf = id;
+            tableSource = id;
             if (!isPresent(id)) {
                 out.send(id, prober.ping(id));
             }
-            out.send(id, new Messages.Ask(tableFrom));
+            out.send(id, new Messages.TableRequest(nextTableRow));
         }
     }
 
     /** A late call shows that this process was suspended: it doubts its own health before that of others. */
-    private void doubtAfterPause(final long nowUs) {
-        if (nowUs - promisedUs > timing.periodUs()) {
-            events.event("self_paused", "late_ms", (nowUs - promisedUs) / US_PER_MS);
-            promisedUs = nowUs;
+    private void detectSuspension(final long nowUs) {
+        if (nowUs - promisedTickUs > timing.periodUs()) {
+            events.event("self_paused", "late_ms", (nowUs - promisedTickUs) / US_PER_MS);
+            promisedTickUs = nowUs;
             health.worse();
-            prober.forget(nowUs);
-            members.doubt(nowUs);
+            prober.restart(nowUs);
+            members.restartSuspicions(nowUs);
         }
     }
 
     @Override
-    public List<Message> ride(final Moment now, final int peer, final int room) {
-        return members.rumours(peer, room);
+    public List<Message> gossip(final ClockReading now, final int peer, final int room) {
+        return members.gossip(peer, room);
     }
 }
--- a/src/main/java/driftchute/fleet/membership/Timing.java
+++ b/src/main/java/driftchute/fleet/membership/MembershipTiming.java
@@ -13,22 +13,22 @@
  * @param accusers number of independent accusers beside the first that shorten the longest suspicion to the shortest
  * @param sendings maximum number of times that a courier sends one change
  */
-record Timing(
+record MembershipTiming(
         long periodUs,
         long answerUs,
         long gossipUs,
         long tableUs,
         long joinUs,
-        long leastUs,
-        long mostUs,
+        long minSuspicionUs,
+        long maxSuspicionUs,
         int accusers,
-        int sendings) {
+        int maxSendings) {
     /**
      * Tenths of a period, so that a direct round trip and the helpers' round trip fit into one period with time left.
      */
     private static final int ANSWER_TENTHS = 4;
 
-    private static final int GOSSIPS = 4;
+    private static final int GOSSIPS_PER_PERIOD = 4;
     private static final int TABLE_PERIODS = 20;
     private static final int JOIN_PERIODS = 8;
     /** Lifeguard's alpha: three attempts to hear and be heard. */
@@ -40,14 +40,14 @@
     /** SWIM's lambda. */
     private static final int LAMBDA = 3;
 
-    static Timing of(final long periodUs, final int size) {
+    static MembershipTiming of(final long periodUs, final int size) {
         final long leastUs = (long) (ALPHA * periodUs * Math.max(1, Math.log10(size)));
         // The bit length of n is ceil(log2(n + 1)).
         final int sendings = LAMBDA * (Integer.SIZE - Integer.numberOfLeadingZeros(size));
-        return new Timing(
+        return new MembershipTiming(
                 periodUs,
                 periodUs * ANSWER_TENTHS / 10,
-                periodUs / GOSSIPS,
+                periodUs / GOSSIPS_PER_PERIOD,
                 periodUs * TABLE_PERIODS,
                 periodUs * JOIN_PERIODS,
                 leastUs,
--- a/src/main/java/driftchute/fleet/membership/Prober.java
+++ b/src/main/java/driftchute/fleet/membership/Prober.java
@@ -24,36 +24,36 @@
     private static final class Probe {
         private final int target;
         private final int sequence;
-        private final long askUs;
+        private final long askHelpersUs;
         private final Set<Integer> helpers = new HashSet<>();
         private final Set<Integer> nacks = new HashSet<>();
-        private boolean asked;
+        private boolean helpersAsked;
         private boolean answered;
 
         Probe(final int target, final int sequence, final long askUs) {
             this.target = target;
             this.sequence = sequence;
-            this.askUs = askUs;
+            this.askHelpersUs = askUs;
         }
     }
 
     /** A ping sent on behalf of another courier. */
-    private record Errand(int asker, int sequence, int target, long nackUs, boolean nacked) {}
+    private record IndirectProbe(int requester, int sequence, int target, long nackUs, boolean nacked) {}
 
-    private final Timing timing;
-    private final Members members;
+    private final MembershipTiming timing;
+    private final MemberTable members;
     private final LocalHealth health;
     private final Random random;
-    private final Deque<Integer> round = new ArrayDeque<>();
-    private final Deque<Integer> goneRound = new ArrayDeque<>();
-    private final Map<Integer, Errand> errands = new LinkedHashMap<>();
+    private final Deque<Integer> presentRound = new ArrayDeque<>();
+    private final Deque<Integer> absentRound = new ArrayDeque<>();
+    private final Map<Integer, IndirectProbe> indirectProbes = new LinkedHashMap<>();
     private Probe probe;
     private int sequence;
-    private long nextUs;
+    private long nextProbeUs;
 
     Prober(
-            final Timing timing,
-            final Members members,
+            final MembershipTiming timing,
+            final MemberTable members,
             final LocalHealth health,
             final Random random,
             final long nowUs) {
@@ -63,44 +63,44 @@
         this.random = random;
         this.sequence = random.nextInt(Messages.MAX_SEQUENCE);
         // Couriers that start together must not probe together.
-        this.nextUs = nowUs + (long) (random.nextDouble() * timing.periodUs());
+        this.nextProbeUs = nowUs + (long) (random.nextDouble() * timing.periodUs());
     }
 
     /** Performs the work that is due. */
     void tick(final long nowUs, final Outbox out) {
-        runErrands(nowUs, out);
-        if (probe != null && !probe.answered && !probe.asked && nowUs >= probe.askUs) {
+        runIndirectProbes(nowUs, out);
+        if (probe != null && !probe.answered && !probe.helpersAsked && nowUs >= probe.askHelpersUs) {
             askHelpers(out);
         }
-        if (nowUs >= nextUs) {
-            conclude(nowUs);
-            begin(nowUs, out);
+        if (nowUs >= nextProbeUs) {
+            endProbe(nowUs);
+            beginProbe(nowUs, out);
         }
         for (final Member suspect : members.suspects()) {
-            if (suspect.suspicion.askUs() <= nowUs) {
-                suspect.suspicion.askAt(members.accuses(suspect) ? nowUs + timing.periodUs() : Long.MAX_VALUE);
+            if (suspect.suspicion.probeUs() <= nowUs) {
+                suspect.suspicion.probeAt(members.accuses(suspect) ? nowUs + timing.periodUs() : Long.MAX_VALUE);
                 out.send(suspect.id, ping(suspect.id));
             }
         }
     }
 
-    /** When {@link #tick} is due, monotonic us, except for probes of suspects ({@link Members#dueUs}). */
+    /** When {@link #tick} is due, monotonic us, except for probes of suspects ({@link MemberTable#dueUs}). */
     long dueUs() {
-        long due = nextUs;
-        if (probe != null && !probe.answered && !probe.asked) {
-            due = Math.min(due, probe.askUs);
+        long due = nextProbeUs;
+        if (probe != null && !probe.answered && !probe.helpersAsked) {
+            due = Math.min(due, probe.askHelpersUs);
         }
-        for (final Errand errand : errands.values()) {
-            due = Math.min(due, errand.nacked() ? endUs(errand) : errand.nackUs());
+        for (final IndirectProbe probe : indirectProbes.values()) {
+            due = Math.min(due, probe.nacked() ? endUs(probe) : probe.nackUs());
         }
         return due;
     }
 
     /** This process was suspended, so probes in progress say nothing about others. */
-    void forget(final long nowUs) {
+    void restart(final long nowUs) {
         probe = null;
-        errands.clear();
-        nextUs = nowUs;
+        indirectProbes.clear();
+        nextProbeUs = nowUs;
     }
 
     /** A ping with a new sequence number. Its answer counts only as the courier's own claim. */
@@ -109,62 +109,62 @@
     }
 
     /** Up to {@code most} random other couriers that match. */
-    List<Integer> some(final int most, final Predicate<Member> test) {
+    List<Integer> randomMembers(final int max, final Predicate<Member> test) {
         final List<Integer> ids =
                 new ArrayList<>(members.others(test).map(member -> member.id).toList());
         Collections.shuffle(ids, random);
-        return ids.subList(0, Math.min(most, ids.size()));
+        return ids.subList(0, Math.min(max, ids.size()));
     }
 
-    private void runErrands(final long nowUs, final Outbox out) {
-        errands.values().removeIf(errand -> nowUs >= endUs(errand));
-        errands.replaceAll((number, errand) -> {
-            if (errand.nacked() || nowUs < errand.nackUs()) {
-                return errand;
+    private void runIndirectProbes(final long nowUs, final Outbox out) {
+        indirectProbes.values().removeIf(probe -> nowUs >= endUs(probe));
+        indirectProbes.replaceAll((number, probe) -> {
+            if (probe.nacked() || nowUs < probe.nackUs()) {
+                return probe;
             }
-            out.send(errand.asker(), new Messages.Nack(errand.sequence()));
-            return new Errand(errand.asker(), errand.sequence(), errand.target(), errand.nackUs(), true);
+            out.send(probe.requester(), new Messages.Nack(probe.sequence()));
+            return new IndirectProbe(probe.requester(), probe.sequence(), probe.target(), probe.nackUs(), true);
         });
     }
 
     /** A late answer may still help a requester with a poor local health score, whose probes last longer. */
-    private long endUs(final Errand errand) {
-        return errand.nackUs() + timing.periodUs();
+    private long endUs(final IndirectProbe probe) {
+        return probe.nackUs() + timing.periodUs();
     }
 
     private void askHelpers(final Outbox out) {
-        probe.asked = true;
+        probe.helpersAsked = true;
         out.send(probe.target, ping(probe.sequence, probe.target));
-        probe.helpers.addAll(some(HELPERS, member -> member.claim.state() == State.ALIVE && member.id != probe.target));
+        probe.helpers.addAll(randomMembers(HELPERS, member -> member.claim.state() == MemberState.ALIVE && member.id != probe.target));
         probe.helpers.forEach(helper -> out.send(helper, new Messages.PingRequest(probe.sequence, probe.target)));
     }
 
-    private void conclude(final long nowUs) {
+    private void endProbe(final long nowUs) {
         if (probe != null && !probe.answered) {
             // If all helpers answer with a nack, this courier can communicate, so its own health is not in doubt.
             if (probe.helpers.isEmpty() || probe.nacks.size() < probe.helpers.size()) {
                 health.worse();
             }
-            members.accuse(nowUs, probe.target);
+            members.onProbeFailed(nowUs, probe.target);
         }
         probe = null;
     }
 
-    private void begin(final long nowUs, final Outbox out) {
-        final int target = next(round, true);
+    private void beginProbe(final long nowUs, final Outbox out) {
+        final int target = nextOfRound(presentRound, true);
         if (target >= 0) {
             probe = new Probe(target, nextSequence(), nowUs + health.scaled(timing.answerUs()));
             out.send(target, ping(probe.sequence, target));
         }
-        final int gone = next(goneRound, false);
-        if (gone >= 0) {
-            out.send(gone, ping(gone));
+        final int absent = nextOfRound(absentRound, false);
+        if (absent >= 0) {
+            out.send(absent, ping(absent));
         }
-        nextUs = nowUs + health.scaled(timing.periodUs());
+        nextProbeUs = nowUs + health.scaled(timing.periodUs());
     }
 
     /** The next courier of a shuffled round that is present, or is not; negative if there is none. */
-    private int next(final Deque<Integer> from, final boolean present) {
+    private int nextOfRound(final Deque<Integer> from, final boolean present) {
         for (int rounds = 0; rounds < 2; rounds++) {
             while (!from.isEmpty()) {
                 final int id = from.poll();
@@ -172,7 +172,7 @@
                     return id;
                 }
             }
-            from.addAll(some(Integer.MAX_VALUE, member -> true));
+            from.addAll(randomMembers(Integer.MAX_VALUE, member -> true));
         }
         return -1;
     }
@@ -187,18 +187,18 @@
     }
 
     /** Handles an ack: for a probe of this courier, or for an indirect probe. */
-    void acked(final int from, final Messages.Ack ack, final Outbox out) {
+    void onAck(final int from, final Messages.Ack ack, final Outbox out) {
         if (probe != null && from == probe.target && ack.sequence() == probe.sequence) {
-            answered();
+            onProbeAnswered();
         }
-        final Errand errand = errands.get(ack.sequence());
-        if (errand != null && errand.target() == from) {
-            errands.remove(ack.sequence());
-            out.send(errand.asker(), new Messages.Relayed(errand.sequence(), ack.incarnation()));
+        final IndirectProbe probe = indirectProbes.get(ack.sequence());
+        if (probe != null && probe.target() == from) {
+            indirectProbes.remove(ack.sequence());
+            out.send(probe.requester(), new Messages.Relayed(probe.sequence(), ack.incarnation()));
         }
     }
 
-    private void answered() {
+    private void onProbeAnswered() {
         if (!probe.answered) {
             probe.answered = true;
             health.better();
@@ -206,27 +206,27 @@
     }
 
     /** Handles a helper's report that the target has answered. */
-    void relayed(final long nowUs, final int from, final Messages.Relayed relayed) {
+    void onRelayed(final long nowUs, final int from, final Messages.Relayed relayed) {
         if (probe != null && probe.helpers.contains(from) && relayed.sequence() == probe.sequence) {
-            answered();
-            members.told(nowUs, probe.target, new Claim(State.ALIVE, relayed.incarnation()), from);
+            onProbeAnswered();
+            members.onClaim(nowUs, probe.target, new Claim(MemberState.ALIVE, relayed.incarnation()), from);
         }
     }
 
     /** Handles a helper's report that the target has not answered. */
-    void nacked(final int from, final Messages.Nack nack) {
+    void onNack(final int from, final Messages.Nack nack) {
         if (probe != null && probe.helpers.contains(from) && nack.sequence() == probe.sequence) {
             probe.nacks.add(from);
         }
     }
 
     /** Handles a request to probe another courier. */
-    void asked(final long nowUs, final int from, final Messages.PingRequest request, final Outbox out) {
-        if (request.target() != from && !members.isSelf(request.target()) && errands.size() < MAX_ERRANDS) {
+    void onPingRequest(final long nowUs, final int from, final Messages.PingRequest request, final Outbox out) {
+        if (request.target() != from && !members.isSelf(request.target()) && indirectProbes.size() < MAX_ERRANDS) {
             final Messages.Ping ping = ping(request.target());
-            errands.put(
+            indirectProbes.put(
                     ping.sequence(),
-                    new Errand(from, request.sequence(), request.target(), nowUs + timing.answerUs(), false));
+                    new IndirectProbe(from, request.sequence(), request.target(), nowUs + timing.answerUs(), false));
             out.send(request.target(), ping);
         }
     }
--- a/src/main/java/driftchute/fleet/membership/Suspicion.java
+++ b/src/main/java/driftchute/fleet/membership/Suspicion.java
@@ -5,16 +5,16 @@
 
 /** A suspicion: its accusers and its deadline for a refutation (Lifeguard's dynamic suspicion time-outs). */
 final class Suspicion {
-    private final Timing timing;
+    private final MembershipTiming timing;
     private final Set<Integer> accusers = new HashSet<>();
     private long sinceUs;
-    private boolean certain;
-    private long askUs;
+    private boolean fullyConfirmed;
+    private long probeUs;
 
-    Suspicion(final Timing timing, final long nowUs, final int by) {
+    Suspicion(final MembershipTiming timing, final long nowUs, final int by) {
         this.timing = timing;
         this.sinceUs = nowUs;
-        this.askUs = nowUs + timing.leastUs() / 2;
+        this.probeUs = nowUs + timing.minSuspicionUs() / 2;
         accusers.add(by);
     }
 
@@ -24,21 +24,21 @@
     }
 
     /** Another courier considers the suspect dead: this counts like all the accusers that are needed. */
-    void certain() {
-        certain = true;
+    void confirmFully() {
+        fullyConfirmed = true;
     }
 
     /** Schedules a probe of the suspect. */
-    void askAt(final long us) {
-        askUs = us;
+    void probeAt(final long us) {
+        probeUs = us;
     }
 
     /**
      * When this courier probes the suspect itself, monotonic us: at once and repeatedly if it is an accuser, and once
      * half-way through the shortest suspicion otherwise. So no courier declares another dead without having probed it.
      */
-    long askUs() {
-        return askUs;
+    long probeUs() {
+        return probeUs;
     }
 
     /** Whether that courier is an accuser. */
@@ -49,16 +49,16 @@
     /** Restarts the time to refute and probes the suspect again. */
     void restart(final long nowUs) {
         sinceUs = nowUs;
-        askUs = nowUs;
+        probeUs = nowUs;
     }
 
     /** When the suspect is declared dead unless it refutes, monotonic us. */
     long deadlineUs() {
         final int others = accusers.size() - 1;
-        if (certain || others >= timing.accusers()) {
-            return sinceUs + timing.leastUs();
+        if (fullyConfirmed || others >= timing.accusers()) {
+            return sinceUs + timing.minSuspicionUs();
         }
-        final double shrunk = Math.log(others + 1.0) / Math.log(timing.accusers() + 1.0);
-        return sinceUs + timing.mostUs() - (long) ((timing.mostUs() - timing.leastUs()) * shrunk);
+        final double reduction = Math.log(others + 1.0) / Math.log(timing.accusers() + 1.0);
+        return sinceUs + timing.maxSuspicionUs() - (long) ((timing.maxSuspicionUs() - timing.minSuspicionUs()) * reduction);
     }
 }
--- a/src/main/java/driftchute/fleet/ration/Allocator.java
+++ b/src/main/java/driftchute/fleet/ration/Allocator.java
@@ -1,6 +1,6 @@
 package driftchute.fleet.ration;
 
-import driftchute.fleet.FleetBlock;
+import driftchute.fleet.FleetConfig;
 import driftchute.fleet.ration.MaxMin.Claim;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -93,7 +93,7 @@
     private long termFromUs;
     private long lookUs = Long.MIN_VALUE;
 
-    Allocator(final int couriers, final FleetBlock block) {
+    Allocator(final int couriers, final FleetConfig block) {
         this.couriers = couriers;
         this.rationMs = block.rationMs();
         this.driftPart = block.driftPpm() / MILLION;
--- a/src/main/java/driftchute/fleet/ration/Rations.java
+++ b/src/main/java/driftchute/fleet/ration/Rations.java
@@ -1,13 +1,13 @@
 package driftchute.fleet.ration;
 
 import driftchute.Courier;
-import driftchute.fleet.Duty;
-import driftchute.fleet.Events;
-import driftchute.fleet.FleetBlock;
+import driftchute.fleet.LeasedRole;
+import driftchute.fleet.EventLog;
+import driftchute.fleet.FleetConfig;
 import driftchute.fleet.Message;
-import driftchute.fleet.Moment;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
-import driftchute.fleet.Part;
+import driftchute.fleet.Component;
 import driftchute.fleet.Tier;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -26,7 +26,7 @@
  * <p>The clock reading passed with a message must be taken after the message was taken from the socket. The proof that
  * an old allocator's grants expire in time depends on it.
  */
-public final class Rations implements Part {
+public final class Rations implements Component {
     /** Maximum number of destinations. Others have only the reserved part. */
     static final int MAX_DESTINATIONS = Allocator.MAX_DESTINATIONS;
     /** Requests per lease time: two in a row may be lost before a share expires. */
@@ -54,10 +54,10 @@
 
     private static final double MILLION = 1_000_000;
 
-    private record Sent(long atUs, Duty.Holding to) {}
+    private record Sent(long atUs, LeasedRole.Holder to) {}
 
-    private final Duty duty;
-    private final Events events;
+    private final LeasedRole duty;
+    private final EventLog events;
     private final Random random;
     private final Allocator allocator;
     private final int rationMs;
@@ -68,7 +68,7 @@
     private final Map<Long, Allotment> allotments = new LinkedHashMap<>();
     private final Set<Long> asked = new HashSet<>();
     private final LinkedHashMap<Long, Sent> sent = new LinkedHashMap<>();
-    private Optional<Duty.Holding> holder = Optional.empty();
+    private Optional<LeasedRole.Holder> holder = Optional.empty();
     private long seq = -1;
     private long lastWantUs = Long.MIN_VALUE / 2;
     private long nextWantUs = Long.MIN_VALUE / 2;
@@ -80,16 +80,16 @@
      *
      * @param seed source of randomness, different for each process
      */
-    public Rations(final Tier tier, final FleetBlock block, final Duty duty, final long seed, final Events events) {
+    public Rations(final Tier tier, final FleetConfig block, final LeasedRole duty, final long seed, final EventLog events) {
         this(tier, block, duty, seed, events, new Allocator(tier.size(), block));
     }
 
     Rations(
             final Tier tier,
-            final FleetBlock block,
-            final Duty duty,
+            final FleetConfig block,
+            final LeasedRole duty,
             final long seed,
-            final Events events,
+            final EventLog events,
             final Allocator allocator) {
         this.duty = duty;
         this.events = events;
@@ -111,7 +111,7 @@
      * Handles what the traffic knows and needs of each destination in use, about every 100 ms. Implausible figures
      * count as none; destinations that are not listed are not in use.
      */
-    public void reports(final Moment now, final List<Courier.DestinationReport> reports) {
+    public void reports(final ClockReading now, final List<Courier.DestinationReport> reports) {
         final long nowUs = now.monoUs();
         final Set<Long> used = new HashSet<>();
         for (final Courier.DestinationReport report : reports) {
@@ -140,7 +140,7 @@
      * The rates that this courier may use, including the reserved part, and their expiry (monotonic us); none without a
      * lease.
      */
-    public Map<Long, Courier.RateLease> rations(final Moment now) {
+    public Map<Long, Courier.RateLease> rations(final ClockReading now) {
         final Map<Long, Courier.RateLease> rations = new LinkedHashMap<>();
         allotments.forEach((destination, allotment) -> {
             final Courier.RateLease ration = allotment.ration(now.monoUs());
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public void receive(final Moment now, final int from, final Message message, final Outbox out) {
+    public void receive(final ClockReading now, final int from, final Message message, final Outbox out) {
         if (message instanceof Grant grant) {
             accept(now, from, grant);
         } else if (message instanceof Want want && holds(now)) {
@@ -161,7 +161,7 @@
     }
 
     /** Whether this courier is the allocator now. Checked directly before each grant. */
-    private boolean holds(final Moment now) {
+    private boolean holds(final ClockReading now) {
         final OptionalLong held = duty.held(now);
         if (allocator.term(now.monoUs(), held)) {
             held.ifPresentOrElse(
@@ -178,7 +178,7 @@
         return held.isPresent();
     }
 
-    private void accept(final Moment now, final int from, final Grant grant) {
+    private void accept(final ClockReading now, final int from, final Grant grant) {
         final Sent want = sent.get(grant.seq());
         if (want == null || want.to().courier() != from) {
             return;
@@ -203,13 +203,13 @@
     }
 
     @Override
-    public long tick(final Moment now, final Outbox out) {
+    public long tick(final ClockReading now, final Outbox out) {
         final long nowUs = now.monoUs();
         if (holds(now)) {
             allocator.again(nowUs, out::send);
         }
         final List<Want.Ask> asks = asks(nowUs);
-        final Optional<Duty.Holding> known = duty.holder(now);
+        final Optional<LeasedRole.Holder> known = duty.holder(now);
         final boolean eager =
                 !known.equals(holder) || asks.stream().anyMatch(ask -> !asked.contains(ask.destination()));
         if (known.isPresent() && !asks.isEmpty() && nowUs >= (eager ? lastWantUs + rationUs / EAGER : nextWantUs)) {
@@ -232,7 +232,7 @@
         return asks;
     }
 
-    private void ask(final Moment now, final Duty.Holding to, final List<Want.Ask> asks, final Outbox out) {
+    private void ask(final ClockReading now, final LeasedRole.Holder to, final List<Want.Ask> asks, final Outbox out) {
         final long nowUs = now.monoUs();
         lastWantUs = nowUs;
         final int wants = allotments.values().stream().anyMatch(each -> each.live(nowUs)) ? WANTS : LONE_WANTS;
@@ -259,7 +259,7 @@
         send(nowUs, to, part, out);
     }
 
-    private void send(final long nowUs, final Duty.Holding to, final List<Want.Ask> asks, final Outbox out) {
+    private void send(final long nowUs, final LeasedRole.Holder to, final List<Want.Ask> asks, final Outbox out) {
         seq++;
         sent.put(seq, new Sent(nowUs, to));
         if (sent.size() > MAX_SENT) {
--- a/src/main/java/driftchute/fleet/ration/Want.java
+++ b/src/main/java/driftchute/fleet/ration/Want.java
@@ -1,6 +1,6 @@
 package driftchute.fleet.ration;
 
-import driftchute.fleet.Codec;
+import driftchute.fleet.FrameCodec;
 import driftchute.fleet.MalformedMessageException;
 import driftchute.fleet.Message;
 import driftchute.fleet.Varint;
@@ -23,7 +23,7 @@
     /**
      * Maximum size of a request's demands, so that the grant, with two varints and a time, also fits into one message.
      */
-    static final int MAX_ASKS = Codec.MAX_BODY - 24;
+    static final int MAX_ASKS = FrameCodec.MAX_BODY - 24;
 
     /** The reported limit, calls per second (0: none), and the rate that the courier could use (0: none needed). */
     record Ask(long destination, float limit, float demand) {
--- a/src/main/java/driftchute/fleet/session/Counts.java
+++ b/src/main/java/driftchute/fleet/session/Counts.java
@@ -1,6 +1,6 @@
 package driftchute.fleet.session;
 
-import driftchute.fleet.Codec;
+import driftchute.fleet.FrameCodec;
 import driftchute.fleet.MalformedMessageException;
 import driftchute.fleet.Message;
 import driftchute.fleet.Varint;
@@ -65,6 +65,6 @@
 
     /** Maximum size of rows in a datagram that has {@code left} bytes for this message with its prefix. */
     static int room(final long life, final int left) {
-        return Math.min(left - Rumours.PREFIX, Codec.MAX_BODY) - Varint.size(life);
+        return Math.min(left - Rumours.PREFIX, FrameCodec.MAX_BODY) - Varint.size(life);
     }
 }
--- a/src/main/java/driftchute/fleet/session/Rumours.java
+++ b/src/main/java/driftchute/fleet/session/Rumours.java
@@ -1,7 +1,7 @@
 package driftchute.fleet.session;
 
 import driftchute.fleet.Message;
-import driftchute.fleet.Moment;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -56,12 +56,12 @@
     }
 
     /** This courier demoted a session; {@link #send} is due. */
-    void start(final Moment now, final long session, final int epoch) {
+    void start(final ClockReading now, final long session, final int epoch) {
         own.put(session, new Rumour(epoch, couriers, self, now.monoUs()));
     }
 
     /** That courier sent a demotion that was news here. */
-    void pass(final Moment now, final int from, final long session, final int epoch) {
+    void pass(final ClockReading now, final int from, final long session, final int epoch) {
         final Rumour rumour = new Rumour(epoch, couriers, self, now.monoUs());
         rumour.missing.clear(from);
         told.put(session, rumour);
@@ -78,7 +78,7 @@
     }
 
     /** Sends what is due; returns when the next is due, monotonic us. */
-    long send(final Moment now, final Outbox out) {
+    long send(final ClockReading now, final Outbox out) {
         long next = Long.MAX_VALUE;
         for (final Iterator<Map.Entry<Long, Rumour>> it = own.all().entrySet().iterator(); it.hasNext(); ) {
             final Map.Entry<Long, Rumour> one = it.next();
--- a/src/main/java/driftchute/fleet/session/Sessions.java
+++ b/src/main/java/driftchute/fleet/session/Sessions.java
@@ -1,11 +1,11 @@
 package driftchute.fleet.session;
 
-import driftchute.fleet.Events;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.Message;
-import driftchute.fleet.Moment;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
-import driftchute.fleet.Part;
-import driftchute.fleet.Rider;
+import driftchute.fleet.Component;
+import driftchute.fleet.GossipSource;
 import driftchute.fleet.Tier;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,7 +19,7 @@
  * Session classes, which decide what may share a call (docs/session-classes.md). Receives how each call ended, combines
  * what the couriers know of each session, and derives its class. Used by one thread; the traffic reads {@link #view}.
  */
-public final class Sessions implements Part, Rider {
+public final class Sessions implements Component, GossipSource {
     /**
      * Maximum number of sessions, evicted by the least recent call: 4 MB with ten couriers that all see all of them.
      */
@@ -61,7 +61,7 @@
     private final Tier tier;
     private final long life;
     private final long staleUs;
-    private final Events events;
+    private final EventLog events;
     private final Latest<Integer> forgotten = new Latest<>(MAX_FORGOTTEN);
     private final Latest<Held> sessions = new Latest<>(MAX_SESSIONS, this::gone);
     private final TreeMap<Long, Held> telling = new TreeMap<>();
@@ -78,7 +78,7 @@
      * @param staleUs age at which evidence expires, us
      * @param seed for the search among suspects
      */
-    public Sessions(final Tier tier, final long life, final long staleUs, final long seed, final Events events) {
+    public Sessions(final Tier tier, final long life, final long staleUs, final long seed, final EventLog events) {
         this.tier = tier;
         this.life = life;
         this.staleUs = staleUs;
@@ -94,22 +94,22 @@
      * This courier hears from a majority of the tier, itself included. Classes are valid for {@code staleUs} from the
      * last call.
      */
-    public void heardMajority(final Moment now) {
+    public void heardMajority(final ClockReading now) {
         freshUntilUs = now.monoUs() + staleUs;
     }
 
     /** A session's class as this courier knows it. */
-    public SessionClass classOf(final long session, final Moment now) {
+    public SessionClass classOf(final long session, final ClockReading now) {
         final Held held = sessions.get(session);
         return held == null || now.monoUs() >= freshUntilUs || !fresh(held, now) ? SessionClass.OWN : held.earned;
     }
 
-    private boolean fresh(final Held held, final Moment now) {
+    private boolean fresh(final Held held, final ClockReading now) {
         return now.monoUs() - held.evidenceUs < staleUs;
     }
 
     /** All sessions that may share calls, for the traffic. Iterates over all sessions. */
-    public SessionView view(final Moment now) {
+    public SessionView view(final ClockReading now) {
         final Map<Long, SessionClass> classes = new HashMap<>();
         sessions.all().forEach((session, held) -> {
             if (held.earned != SessionClass.OWN && fresh(held, now)) {
@@ -120,7 +120,7 @@
     }
 
     /** A session's class and the reasons for it, in one line for the operators. */
-    public String describe(final long session, final Moment now) {
+    public String describe(final long session, final ClockReading now) {
         final Held held = sessions.get(session);
         if (held == null) {
             return String.format("session %016x: own, not held; epoch %d", session, epochOf(session));
@@ -154,7 +154,7 @@
     // ---------------------------------------------------------------- outcomes of calls
 
     /** Records the end of a call. */
-    public void observe(final Moment now, final CallOutcome call, final Outbox out) {
+    public void observe(final ClockReading now, final CallOutcome call, final Outbox out) {
         for (final CallOutcome.Share share : call.shares()) {
             habits(now, share);
         }
@@ -172,7 +172,7 @@
         held.earned = Evidence.classOf(held.state, tier.self());
     }
 
-    private void habits(final Moment now, final CallOutcome.Share share) {
+    private void habits(final ClockReading now, final CallOutcome.Share share) {
         final Held held = sessions.use(share.session(), this::fresh);
         held.calledUs = now.monoUs();
         held.evidenceUs = now.monoUs();
@@ -219,7 +219,7 @@
         }
     }
 
-    private void passed(final Moment now, final CallOutcome call, final Outbox out) {
+    private void passed(final ClockReading now, final CallOutcome call, final Outbox out) {
         final List<Long> all = call.sessions();
         if (baseline.others(call.destination(), all, now.monoUs()) != Baseline.Standing.ILL) {
             for (final long session : all) {
@@ -240,7 +240,7 @@
         }
     }
 
-    private void failed(final Moment now, final CallOutcome call, final Outbox out) {
+    private void failed(final ClockReading now, final CallOutcome call, final Outbox out) {
         final List<Long> all = call.sessions();
         final Baseline.Standing standing = baseline.others(call.destination(), all, now.monoUs());
         if (all.size() == 1) {
@@ -267,7 +267,7 @@
         }
     }
 
-    private void demote(final Moment now, final long session, final Held held, final String why, final Outbox out) {
+    private void demote(final ClockReading now, final long session, final Held held, final String why, final Outbox out) {
         final int epoch = Math.min(SessionState.MAX_EPOCH, held.state.epoch() + 1);
         final Counters all = Evidence.sum(held.state);
         events.event(
@@ -312,7 +312,7 @@
     }
 
     @Override
-    public void receive(final Moment now, final int from, final Message message, final Outbox out) {
+    public void receive(final ClockReading now, final int from, final Message message, final Outbox out) {
         if (from < 0 || from >= tier.size() || from == tier.self()) {
             return;
         }
@@ -330,7 +330,7 @@
         }
     }
 
-    private void receive(final Moment now, final int from, final Counts.Row row, final Outbox out) {
+    private void receive(final ClockReading now, final int from, final Counts.Row row, final Outbox out) {
         learn(row.session(), row.epoch());
         rumours.known(from, row.session(), row.epoch());
         final int epoch = epochOf(row.session());
@@ -375,12 +375,12 @@
     }
 
     @Override
-    public long tick(final Moment now, final Outbox out) {
+    public long tick(final ClockReading now, final Outbox out) {
         return Math.max(now.monoUs() + 1, Math.min(now.monoUs() + TICK_US, rumours.send(now, out)));
     }
 
     @Override
-    public List<Message> ride(final Moment now, final int peer, final int room) {
+    public List<Message> gossip(final ClockReading now, final int peer, final int room) {
         final List<Message> riding = new ArrayList<>(rumours.ride(peer, room));
         int left = room
                 - riding.stream()
--- a/src/main/java/driftchute/fleet/shared/SharedState.java
+++ b/src/main/java/driftchute/fleet/shared/SharedState.java
@@ -1,13 +1,13 @@
 package driftchute.fleet.shared;
 
 import driftchute.Courier;
-import driftchute.fleet.Codec;
-import driftchute.fleet.Events;
-import driftchute.fleet.FleetBlock;
-import driftchute.fleet.Moment;
-import driftchute.fleet.Plane;
+import driftchute.fleet.FrameCodec;
+import driftchute.fleet.EventLog;
+import driftchute.fleet.FleetConfig;
+import driftchute.fleet.ClockReading;
+import driftchute.fleet.ControlPlane;
 import driftchute.fleet.Tier;
-import driftchute.fleet.lease.Leases;
+import driftchute.fleet.lease.RoleLeases;
 import driftchute.fleet.membership.Membership;
 import driftchute.fleet.ration.Rations;
 import driftchute.fleet.verdict.Terms;
@@ -26,18 +26,18 @@
      * The roles by number: the courier that allocates rate leases, and the one that assigns probes. Their names enter
      * the hash that ranks the candidates.
      */
-    private static final List<String> DUTIES = List.of("allocator", "trier");
+    private static final List<String> ROLE_NAMES = List.of("allocator", "trier");
 
     static final int ALLOCATOR = 0;
-    static final int TRIER = 1;
+    static final int PROBE_COORDINATOR = 1;
 
-    private final double reserve;
+    private final double reservedShare;
     private final Tier tier;
     private final Membership membership;
-    private final Leases leases;
-    private final Rations rations;
+    private final RoleLeases roleLeases;
+    private final Rations rateLeases;
     private final Verdicts verdicts;
-    private final Plane plane;
+    private final ControlPlane plane;
 
     /**
      * Creates the state of a courier that has just started.
@@ -49,19 +49,19 @@
      */
     public SharedState(
             final Tier tier,
-            final FleetBlock block,
+            final FleetConfig block,
             final Courier.Guarantees guarantees,
             final long seed,
             final long incarnation,
-            final Moment start,
-            final Events events,
-            final LongConsumer keep,
-            final Plane.Sender sender) {
-        this.reserve = block.reserve();
+            final ClockReading start,
+            final EventLog events,
+            final LongConsumer storeIncarnation,
+            final ControlPlane.Sender sender) {
+        this.reservedShare = block.reserve();
         this.tier = tier;
-        membership = new Membership(tier, block.probeMs() * US_PER_MS, seed, incarnation, start, events, keep);
-        leases = new Leases(tier, DUTIES, block.leaseMs() * US_PER_MS, block.driftPpm(), seed + 1, start, events);
-        rations = new Rations(tier, block, new Office(leases, ALLOCATOR), seed + 2, events);
+        membership = new Membership(tier, block.probeMs() * US_PER_MS, seed, incarnation, start, events, storeIncarnation);
+        roleLeases = new RoleLeases(tier, ROLE_NAMES, block.leaseMs() * US_PER_MS, block.driftPpm(), seed + 1, start, events);
+        rateLeases = new Rations(tier, block, new RoleLease(roleLeases, ALLOCATOR), seed + 2, events);
         verdicts = new Verdicts(
                 tier,
                 new Terms(
@@ -70,20 +70,20 @@
                         block.leaseMs(),
                         block.driftPpm(),
                         Terms::halfTheAge),
-                new Office(leases, TRIER),
+                new RoleLease(roleLeases, PROBE_COORDINATOR),
                 seed + 3,
                 events);
-        plane = new Plane(tier, List.of(membership, leases, rations, verdicts), sender);
+        plane = new ControlPlane(tier, List.of(membership, roleLeases, rateLeases, verdicts), sender);
     }
 
     /** Handles a datagram from that courier. {@code now} must be read after the datagram was taken from the socket. */
-    public void receive(final Moment now, final int from, final byte[] datagram) {
+    public void receive(final ClockReading now, final int from, final byte[] datagram) {
         plane.receive(now, from, datagram);
     }
 
     /** Handles what this courier's traffic knows and needs. */
-    public void reports(final Moment now, final List<Courier.DestinationReport> reports) {
-        rations.reports(now, reports);
+    public void reports(final ClockReading now, final List<Courier.DestinationReport> reports) {
+        rateLeases.reports(now, reports);
         verdicts.reports(now, reports);
     }
 
@@ -92,18 +92,18 @@
      *
      * @return the latest time for the next call, monotonic us
      */
-    public long tick(final Moment now) {
+    public long tick(final ClockReading now) {
         return plane.tick(now);
     }
 
     /** The view for the traffic. */
-    public Courier.FleetView view(final Moment now) {
-        return new Courier.FleetView(reserve, rations.rations(now), verdicts.verdicts(now));
+    public Courier.FleetView view(final ClockReading now) {
+        return new Courier.FleetView(reservedShare, rateLeases.rations(now), verdicts.verdicts(now));
     }
 
     /** Gives up the roles and, if {@code leaves}, tells the others that this courier leaves. */
-    public void end(final Moment now, final boolean leaves) {
-        leases.release(now, plane.outbox());
+    public void end(final ClockReading now, final boolean leaves) {
+        roleLeases.release(now, plane.outbox());
         if (leaves) {
             membership.leave(now, plane.outbox());
         }
@@ -116,24 +116,24 @@
     }
 
     /** Number of dropped frames and messages by reason. */
-    public Map<Codec.Drop, Long> drops() {
+    public Map<FrameCodec.Drop, Long> drops() {
         return plane.drops();
     }
 
     /** A one-line summary for the log: the number of couriers present and the holders of the roles, as known here. */
-    public String describe(final Moment now) {
+    public String describe(final ClockReading now) {
         final StringBuilder text = new StringBuilder("present "
                 + membership.present().size() + " of " + tier.size() + ", local health " + membership.localHealth());
-        for (int duty = 0; duty < DUTIES.size(); duty++) {
+        for (int role = 0; role < ROLE_NAMES.size(); role++) {
             text.append(", ")
-                    .append(DUTIES.get(duty))
+                    .append(ROLE_NAMES.get(role))
                     .append(' ')
-                    .append(leases.holder(now, duty)
+                    .append(roleLeases.holder(now, role)
                             .map(holding -> holding.courier() + " by token " + holding.token())
                             .orElse("none"));
         }
         return text.append(", rate leases ")
-                .append(rations.rations(now).size())
+                .append(rateLeases.rations(now).size())
                 .append(", verdicts ")
                 .append(verdicts.verdicts(now).size())
                 .toString();
--- a/src/main/java/driftchute/fleet/verdict/Own.java
+++ b/src/main/java/driftchute/fleet/verdict/Own.java
@@ -2,7 +2,7 @@
 
 import driftchute.Courier;
 import driftchute.Courier.CircuitState;
-import driftchute.fleet.Moment;
+import driftchute.fleet.ClockReading;
 
 /** What this courier's own calls to a destination show, on its monotonic clock. */
 final class Own {
@@ -23,7 +23,7 @@
     private long endedUs = Long.MIN_VALUE;
 
     /** Handles a report of the traffic. */
-    void update(final Moment now, final Courier.DestinationReport report) {
+    void update(final ClockReading now, final Courier.DestinationReport report) {
         final long nowUs = now.monoUs();
         final boolean out = report.circuit() == CircuitState.OPEN && report.troubleSinceUs() <= nowUs;
         final boolean failedMore =
@@ -60,13 +60,13 @@
     }
 
     /** The same as wall-clock ms; 0 if never. */
-    long servedMs(final Moment now) {
+    long servedMs(final ClockReading now) {
         return servedUs == 0 ? 0 : wallMs(now, servedUs);
     }
 
     /** This as a report with the next version. */
     BadReport report(
-            final Moment now, final long destination, final int self, final BadReport before, final Terms terms) {
+            final ClockReading now, final long destination, final int self, final BadReport before, final Terms terms) {
         final long madeMs = Math.max(now.wallMs(), before == null ? 0 : before.madeMs() + 1);
         final long lastMs = Math.min(madeMs, wallMs(now, lastUs));
         final long sinceMs = Math.min(lastMs, wallMs(now, Math.max(fromUs, now.monoUs() - OLDEST_US)));
@@ -91,7 +91,7 @@
         return lastUs <= endedUs;
     }
 
-    private static long wallMs(final Moment now, final long us) {
+    private static long wallMs(final ClockReading now, final long us) {
         return Math.max(0, now.wallMs() + Math.floorDiv(us - now.monoUs(), MS_US));
     }
 }
--- a/src/main/java/driftchute/fleet/verdict/Rumours.java
+++ b/src/main/java/driftchute/fleet/verdict/Rumours.java
@@ -1,6 +1,6 @@
 package driftchute.fleet.verdict;
 
-import driftchute.fleet.Moment;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
 import driftchute.fleet.Tier;
 import java.util.ArrayList;
@@ -56,7 +56,7 @@
     }
 
     /** Whether entries were sent at this time: digests would differ because of entries still in transit. */
-    boolean isTelling(final Moment now) {
+    boolean isTelling(final ClockReading now) {
         return lastUs == now.monoUs();
     }
 
@@ -66,7 +66,7 @@
     }
 
     /** Sends the newest entries, if a round is due. */
-    void round(final Moment now, final Outbox out) {
+    void round(final ClockReading now, final Outbox out) {
         if (now.monoUs() < dueUs()) {
             return;
         }
--- a/src/main/java/driftchute/fleet/verdict/Trials.java
+++ b/src/main/java/driftchute/fleet/verdict/Trials.java
@@ -1,8 +1,8 @@
 package driftchute.fleet.verdict;
 
-import driftchute.fleet.Duty;
-import driftchute.fleet.Events;
-import driftchute.fleet.Moment;
+import driftchute.fleet.LeasedRole;
+import driftchute.fleet.EventLog;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
 import java.util.HashMap;
 import java.util.Map;
@@ -29,15 +29,15 @@
         private boolean open, permitted;
     }
 
-    private final Duty duty;
+    private final LeasedRole duty;
     private final Terms terms;
     private final Random random;
-    private final Events events;
+    private final EventLog events;
     private final Map<Long, Asking> askings = new HashMap<>();
     private boolean started;
     private long tickedUs, heardUs, askedUs, unansweredUs, number;
 
-    Trials(final Duty duty, final Terms terms, final Random random, final Events events) {
+    Trials(final LeasedRole duty, final Terms terms, final Random random, final EventLog events) {
         this.duty = duty;
         this.terms = terms;
         this.random = random;
@@ -45,7 +45,7 @@
     }
 
     /** Handles the passing of time; these destinations are down. */
-    void tick(final Moment now, final Set<Long> out) {
+    void tick(final ClockReading now, final Set<Long> out) {
         final boolean slept = now.monoUs() - tickedUs > terms.leaseMs() * MS_US;
         if (!started || slept || duty.holder(now).isPresent()) {
             heardUs = now.monoUs();
@@ -59,14 +59,14 @@
     }
 
     /** Whether nobody has assigned probes, or answered, for so long that this courier makes its own. */
-    boolean isAlone(final Moment now) {
+    boolean isAlone(final ClockReading now) {
         final long longUs = LEASES * terms.leaseMs() * MS_US;
         return started && (now.monoUs() - heardUs >= longUs || askedUs - unansweredUs >= longUs);
     }
 
     /** Messages wait for a destination that is down and not closed: requests a probe, if that is due. */
-    void want(final Moment now, final long destination, final Outbox out) {
-        final Optional<Duty.Holding> trier = duty.holder(now);
+    void want(final ClockReading now, final long destination, final Outbox out) {
+        final Optional<LeasedRole.Holder> trier = duty.holder(now);
         final Asking asking = askings.computeIfAbsent(destination, unused -> new Asking());
         if (trier.isEmpty() || asking.number > 0 && now.monoUs() < asking.nextUs) {
             return;
@@ -83,9 +83,9 @@
     }
 
     /** Handles a reply. Replies to older requests, from another courier or with an old token are ignored. */
-    void answered(final Moment now, final int from, final Words.Answer answer) {
+    void answered(final ClockReading now, final int from, final Words.Answer answer) {
         final Asking asking = askings.get(answer.destination());
-        final Optional<Duty.Holding> trier = duty.holder(now);
+        final Optional<LeasedRole.Holder> trier = duty.holder(now);
         if (asking == null
                 || !asking.open
                 || asking.number != answer.number()
@@ -117,7 +117,7 @@
     }
 
     /** Until when this courier may make a probe, us; {@code Long.MAX_VALUE} if it makes its own. */
-    long untilUs(final Moment now, final long destination) {
+    long untilUs(final ClockReading now, final long destination) {
         final Asking asking = askings.get(destination);
         return isAlone(now) ? Long.MAX_VALUE : asking == null || !asking.permitted ? 0 : asking.untilUs;
     }
--- a/src/main/java/driftchute/fleet/verdict/Trier.java
+++ b/src/main/java/driftchute/fleet/verdict/Trier.java
@@ -1,9 +1,9 @@
 package driftchute.fleet.verdict;
 
 import driftchute.Courier.TierHealth;
-import driftchute.fleet.Duty;
-import driftchute.fleet.Events;
-import driftchute.fleet.Moment;
+import driftchute.fleet.LeasedRole;
+import driftchute.fleet.EventLog;
+import driftchute.fleet.ClockReading;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
@@ -19,23 +19,23 @@
      */
     private static final long ASK_AGAIN_MS = 250;
 
-    private final Duty duty;
+    private final LeasedRole duty;
     private final Terms terms;
-    private final Events events;
+    private final EventLog events;
     /** When the next probe of a destination may be permitted, us. */
     private final Map<Long, Long> nextUs = new HashMap<>();
 
     private OptionalLong token = OptionalLong.empty();
     private long fromUs;
 
-    Trier(final Duty duty, final Terms terms, final Events events) {
+    Trier(final LeasedRole duty, final Terms terms, final EventLog events) {
         this.duty = duty;
         this.terms = terms;
         this.events = events;
     }
 
     /** Handles the passing of time; these destinations are down. */
-    void tick(final Moment now, final Set<Long> out) {
+    void tick(final ClockReading now, final Set<Long> out) {
         if (holds(now)) {
             nextUs.keySet().retainAll(out);
             out.forEach(destination -> opened(now, destination));
@@ -43,7 +43,7 @@
     }
 
     /** Whether this courier holds the role now. Permits of an earlier holder have expired before it issues any. */
-    private boolean holds(final Moment now) {
+    private boolean holds(final ClockReading now) {
         final OptionalLong held = duty.held(now);
         if (!held.equals(token)) {
             token = held;
@@ -53,7 +53,7 @@
         return held.isPresent();
     }
 
-    private long opened(final Moment now, final long destination) {
+    private long opened(final ClockReading now, final long destination) {
         return nextUs.computeIfAbsent(destination, unused -> Math.max(fromUs, now.monoUs() + gapUs(0)));
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** The reply to a request, or none if another courier holds the role. */
-    Optional<Words.Answer> answer(final Moment now, final int from, final Words.Ask ask, final Judgement judged) {
+    Optional<Words.Answer> answer(final ClockReading now, final int from, final Words.Ask ask, final Judgement judged) {
         if (!holds(now)) {
             return Optional.empty();
         }
--- a/src/main/java/driftchute/fleet/verdict/Verdicts.java
+++ b/src/main/java/driftchute/fleet/verdict/Verdicts.java
@@ -2,13 +2,13 @@
 
 import driftchute.Courier;
 import driftchute.Courier.TierHealth;
-import driftchute.fleet.Duty;
-import driftchute.fleet.Events;
+import driftchute.fleet.LeasedRole;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.Message;
-import driftchute.fleet.Moment;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
-import driftchute.fleet.Part;
-import driftchute.fleet.Rider;
+import driftchute.fleet.Component;
+import driftchute.fleet.GossipSource;
 import driftchute.fleet.Tier;
 import java.util.HashMap;
 import java.util.List;
@@ -22,7 +22,7 @@
  * The fleet's verdicts on its destinations, and the probes of those that are down (docs/fleet-verdicts.md). Receives
  * what this courier's own calls show, shares it with the others, and combines all evidence.
  */
-public final class Verdicts implements Part, Rider {
+public final class Verdicts implements Component, GossipSource {
     /** Intervals of the periodic work during trouble, us, and otherwise. */
     private static final long TICK_US = 50_000;
 
@@ -46,7 +46,7 @@
 
     private final Tier tier;
     private final Terms terms;
-    private final Events events;
+    private final EventLog events;
     private final Evidence evidence;
     private final Rumours rumours;
     private final Trier trier;
@@ -59,7 +59,7 @@
     private long refused;
 
     /** Starts without evidence. {@code seed} is the only source of randomness. */
-    public Verdicts(final Tier tier, final Terms terms, final Duty duty, final long seed, final Events events) {
+    public Verdicts(final Tier tier, final Terms terms, final LeasedRole duty, final long seed, final EventLog events) {
         final Random random = new Random(seed);
         this.tier = tier;
         this.terms = terms;
@@ -74,7 +74,7 @@
      * Handles what this courier's calls show about all its destinations, about every 100 ms. {@link #tick} then sends
      * what is new. Times are on this process's monotonic clock.
      */
-    public void reports(final Moment now, final List<Courier.DestinationReport> reports) {
+    public void reports(final ClockReading now, final List<Courier.DestinationReport> reports) {
         begin(now);
         owns.keySet()
                 .retainAll(reports.stream().map(Courier.DestinationReport::destination).collect(Collectors.toSet()));
@@ -86,7 +86,7 @@
         refresh(now);
     }
 
-    private void update(final Moment now, final Courier.DestinationReport report) {
+    private void update(final ClockReading now, final Courier.DestinationReport report) {
         final long destination = report.destination();
         final Own own = owns.computeIfAbsent(destination, unused -> new Own());
         final long lastUs = own.lastUs();
@@ -104,7 +104,7 @@
     }
 
     /** Reports this courier's own trouble if that is news or a renewal is due. */
-    private void accuse(final Moment now, final long destination, final Own own) {
+    private void accuse(final ClockReading now, final long destination, final Own own) {
         final Outage outage = evidence.of(destination);
         final BadReport before = outage.of(tier.self());
         final BadReport report = own.report(now, destination, tier.self(), before, terms);
@@ -126,7 +126,7 @@
     }
 
     /** Reports this courier's own delivered call if it is later than all evidence against the destination. */
-    private void acquit(final Moment now, final long destination) {
+    private void acquit(final ClockReading now, final long destination) {
         final Outage outage = evidence.outages().get(destination);
         final Own own = owns.get(destination);
         if (outage == null || own == null) {
@@ -141,7 +141,7 @@
         }
     }
 
-    private boolean take(final Moment now, final Entry entry) {
+    private boolean take(final ClockReading now, final Entry entry) {
         final TierHealth before =
                 evidence.of(entry.destination()).judge(now.wallMs(), terms).standing();
         final boolean news = evidence.take(entry);
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public void receive(final Moment now, final int from, final Message message, final Outbox out) {
+    public void receive(final ClockReading now, final int from, final Message message, final Outbox out) {
         begin(now);
         if (message instanceof Entry entry) {
             hear(now, entry);
@@ -200,7 +200,7 @@
     }
 
     /** Handles an entry of another courier, and answers it if this courier's own calls contradict it. */
-    private void hear(final Moment now, final Entry entry) {
+    private void hear(final ClockReading now, final Entry entry) {
         if (!entry.isTimely(now.wallMs(), terms)) {
             refused++;
         } else if (entry.slot() == tier.self() && isForged((BadReport) entry)) {
@@ -221,7 +221,7 @@
     }
 
     @Override
-    public long tick(final Moment now, final Outbox out) {
+    public long tick(final ClockReading now, final Outbox out) {
         begin(now);
         evidence.forget(now.wallMs());
         refresh(now);
@@ -249,7 +249,7 @@
     }
 
     @Override
-    public List<Message> ride(final Moment now, final int peer, final int room) {
+    public List<Message> gossip(final ClockReading now, final int peer, final int room) {
         final Words.Digest digest = new Words.Digest(evidence.digest());
         return evidence.outages().isEmpty()
                         || rumours.isTelling(now)
@@ -260,12 +260,12 @@
                 : List.of(digest);
     }
 
-    private void begin(final Moment now) {
+    private void begin(final ClockReading now) {
         startedMs = startedMs == Long.MIN_VALUE ? now.wallMs() : startedMs;
     }
 
     /** Assesses all destinations again and logs each verdict that changed. */
-    private void refresh(final Moment now) {
+    private void refresh(final ClockReading now) {
         shown.keySet().stream()
                 .filter(destination -> !evidence.outages().containsKey(destination))
                 .toList()
@@ -273,7 +273,7 @@
         evidence.outages().forEach((destination, outage) -> show(now, destination, outage.judge(now.wallMs(), terms)));
     }
 
-    private void show(final Moment now, final long destination, final Judgement to) {
+    private void show(final ClockReading now, final long destination, final Judgement to) {
         final Shown before = shown.get(destination);
         final Judgement from = before == null ? Judgement.WELL : before.judged();
         if (to.standing() != from.standing()) {
@@ -305,7 +305,7 @@
     }
 
     /** The present verdicts on all destinations that are not healthy, on this process's clock. */
-    public Map<Long, Courier.Verdict> verdicts(final Moment now) {
+    public Map<Long, Courier.Verdict> verdicts(final ClockReading now) {
         refresh(now);
         final Map<Long, Courier.Verdict> verdicts = new HashMap<>();
         shown.forEach((destination, of) -> verdicts.put(
@@ -319,7 +319,7 @@
         return verdicts;
     }
 
-    private static long monoUs(final Moment now, final long wallMs) {
+    private static long monoUs(final ClockReading now, final long wallMs) {
         return now.monoUs() + (wallMs - now.wallMs()) * MS_US;
     }
 
--- a/src/main/java/driftchute/node/DeliveryService.java
+++ b/src/main/java/driftchute/node/DeliveryService.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import driftchute.DeliveryPolicy;
 import driftchute.Courier;
-import driftchute.node.fleet.FleetLink;
+import driftchute.node.fleet.FleetControlThread;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -122,7 +122,7 @@
 
     private ScheduledFuture<?> predecessorPoll;
     /** The shared state of the tier; null if couriers share nothing, or while this process does not serve. */
-    private FleetLink fleet;
+    private FleetControlThread fleet;
 
     private final AtomicBoolean viewScheduled = new AtomicBoolean();
     /** State of earlier processes about destinations that are not listed yet. */
@@ -231,7 +231,7 @@
     /** Joins the fleet, if configured. Only the serving process does. */
     private void joinFleet() {
         if (config.fleet() != null) {
-            fleet = new FleetLink(
+            fleet = new FleetControlThread(
                     config.fleet(),
                     config.settings().guarantees(),
                     config.seed(),
@@ -260,7 +260,7 @@
     /** Leaves the fleet. {@code leaves}: no process of this courier continues for now. */
     private void leaveFleet(final boolean leaves) {
         if (fleet != null) {
-            fleet.end(leaves);
+            fleet.stop(leaves);
         }
     }
 
--- a/src/main/java/driftchute/node/fleet/FleetLink.java
+++ b/src/main/java/driftchute/node/fleet/FleetControlThread.java
@@ -1,8 +1,8 @@
 package driftchute.node.fleet;
 
 import driftchute.Courier;
-import driftchute.fleet.Events;
-import driftchute.fleet.Moment;
+import driftchute.fleet.EventLog;
+import driftchute.fleet.ClockReading;
 import driftchute.fleet.Tier;
 import driftchute.fleet.shared.SharedState;
 import io.netty.bootstrap.Bootstrap;
@@ -41,26 +41,26 @@
  * {@link #view()} (one volatile reference) and passes reports to {@link #report}, which never blocks: reports beyond
  * its limit are dropped and counted.
  */
-public final class FleetLink {
+public final class FleetControlThread {
     private static final int MAX_REPORTS = 1024;
     /** One byte more than the longest valid datagram, so that a longer one is detected. */
     private static final int READ_BYTES = 257;
     /** Interval of attempts to bind the address while another process of this courier holds it. */
-    private static final long BIND_AGAIN_MS = 20;
+    private static final long BIND_RETRY_MS = 20;
     /** Interval of the log line about dropped datagrams and reports. */
-    private static final long TELL_MS = 5_000;
+    private static final long LOG_INTERVAL_MS = 5_000;
     /** Maximum interval between two turns of the control thread. Reports come ten times a second. */
-    private static final long TURN_US = 50_000;
+    private static final long MAX_TURN_INTERVAL_US = 50_000;
 
     private static final long US_PER_MS = 1000;
-    private static final long END_MS = 200;
+    private static final long SHUTDOWN_MS = 200;
 
     private final FleetSettings settings;
-    private final LongSupplier monoUs;
-    private final Supplier<SharedState> start;
-    private final Events events;
+    private final LongSupplier monotonicUs;
+    private final Supplier<SharedState> stateFactory;
+    private final EventLog events;
     private final Consumer<Courier.FleetView> changed;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> peerNumbers = new HashMap<>();
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("fleet", true), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -70,36 +70,36 @@
     private volatile Courier.FleetView view;
     private SharedState state;
     private Channel channel;
-    private boolean ended;
+    private boolean stopped;
     /** Datagrams from unknown addresses, and the last logged drop counts. Control thread only. */
-    private long strangers;
+    private long unknownSenders;
 
-    private String told = "";
+    private String loggedDrops = "";
 
     /**
      * @param folder the state folder, for the incarnation
      * @param monoUs this process's monotonic clock, us; read on both threads
      * @param changed receives each new view, on the control thread
      */
-    public FleetLink(
+    public FleetControlThread(
             final FleetSettings settings,
             final Courier.Guarantees guarantees,
             final long seed,
             final Path folder,
             final LongSupplier monoUs,
-            final Events events,
+            final EventLog events,
             final Consumer<Courier.FleetView> changed) {
         this.settings = settings;
-        this.monoUs = monoUs;
+        this.monotonicUs = monoUs;
         this.events = events;
         this.changed = changed;
         for (int peer = 0; peer < settings.peers().size(); peer++) {
-            numbers.put(settings.peers().get(peer), peer);
+            peerNumbers.put(settings.peers().get(peer), peer);
         }
         final Tier tier = new Tier(
                 settings.self(), settings.peers().size(), settings.block().epoch());
         final IncarnationFile kept = new IncarnationFile(folder);
-        this.start = () -> {
+        this.stateFactory = () -> {
             try {
                 return new SharedState(
                         tier,
@@ -127,11 +127,11 @@
     /** Starts, and binds the peer address as soon as no other process of this courier holds it. Thread-safe. */
     public void start() {
         loop.execute(this::bind);
-        loop.scheduleWithFixedDelay(this::tell, TELL_MS, TELL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::logState, LOG_INTERVAL_MS, LOG_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void bind() {
-        if (ended) {
+        if (stopped) {
             return;
         }
         new Bootstrap()
@@ -141,7 +141,7 @@
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(final ChannelHandlerContext ctx, final DatagramPacket packet) {
-                        came(packet);
+                        onDatagram(packet);
                     }
 
                     @Override
@@ -149,7 +149,7 @@
                         // A peer's closed port is reported as an error of this socket; it only means that a datagram
                         // was lost.
                         if (!(cause instanceof IOException)) {
-                            failed("a datagram", cause);
+                            logFailure("a datagram", cause);
                         }
                     }
                 })
@@ -157,20 +157,20 @@
                 .addListener(done -> {
                     if (done.isSuccess()) {
                         channel = ((io.netty.channel.ChannelFuture) done).channel();
-                        begin();
+                        onBound();
                     } else {
-                        loop.schedule(this::bind, BIND_AGAIN_MS, TimeUnit.MILLISECONDS);
+                        loop.schedule(this::bind, BIND_RETRY_MS, TimeUnit.MILLISECONDS);
                     }
                 });
     }
 
-    private void begin() {
-        if (ended) {
+    private void onBound() {
+        if (stopped) {
             channel.close();
             return;
         }
         try {
-            state = start.get();
+            state = stateFactory.get();
             events.event(
                     "fleet_begun",
                     "self",
@@ -185,21 +185,21 @@
                     state.incarnation());
             turn();
         } catch (final UncheckedIOException e) {
-            failed("the state folder", e);
+            logFailure("the state folder", e);
             channel.close();
         }
     }
 
-    private void came(final DatagramPacket packet) {
-        final Integer from = numbers.get(packet.sender());
-        if (from == null || state == null || ended) {
-            strangers++;
+    private void onDatagram(final DatagramPacket packet) {
+        final Integer from = peerNumbers.get(packet.sender());
+        if (from == null || state == null || stopped) {
+            unknownSenders++;
             return;
         }
         final ByteBuf content = packet.content();
         final byte[] bytes = new byte[content.readableBytes()];
         content.readBytes(bytes);
-        guarded("a datagram", () -> {
+        runGuarded("a datagram", () -> {
             state.receive(now(), from, bytes);
             // What a message triggers (an awaited answer, gossip) does not wait for the next turn.
             state.tick(now());
@@ -210,17 +210,17 @@
     /** One turn of the control thread: processes reports and due work, and publishes a new view. */
     private void turn() {
         turnDue.set(false);
-        if (ended || state == null) {
+        if (stopped || state == null) {
             return;
         }
         for (List<Courier.DestinationReport> next = reports.poll(); next != null; next = reports.poll()) {
             final List<Courier.DestinationReport> batch = next;
-            guarded("a report", () -> state.reports(now(), batch));
+            runGuarded("a report", () -> state.reports(now(), batch));
         }
-        final long[] dueUs = {monoUs.getAsLong() + TURN_US};
-        guarded("a turn", () -> dueUs[0] = Math.min(dueUs[0], state.tick(now())));
+        final long[] dueUs = {monotonicUs.getAsLong() + MAX_TURN_INTERVAL_US};
+        runGuarded("a turn", () -> dueUs[0] = Math.min(dueUs[0], state.tick(now())));
         publish();
-        loop.schedule(this::turnIfNotDue, Math.max(1, dueUs[0] - monoUs.getAsLong()), TimeUnit.MICROSECONDS);
+        loop.schedule(this::turnIfNotDue, Math.max(1, dueUs[0] - monotonicUs.getAsLong()), TimeUnit.MICROSECONDS);
     }
 
     private void turnIfNotDue() {
@@ -233,15 +233,15 @@
      * A fault in the shared state never ends the thread. It may make the view stale, but rate leases and duty leases
      * expire by themselves.
      */
-    private void guarded(final String what, final Runnable step) {
+    private void runGuarded(final String what, final Runnable step) {
         try {
             step.run();
         } catch (final RuntimeException e) {
-            failed(what, e);
+            logFailure(what, e);
         }
     }
 
-    private void failed(final String what, final Throwable cause) {
+    private void logFailure(final String what, final Throwable cause) {
         events.event(
                 "fleet_failure",
                 "what",
@@ -253,7 +253,7 @@
     }
 
     private void publish() {
-        if (state != null && !ended) {
+        if (state != null && !stopped) {
             final Courier.FleetView next = state.view(now());
             if (!next.equals(view)) {
                 view = next;
@@ -267,8 +267,8 @@
                 Unpooled.wrappedBuffer(datagram), settings.peers().get(peer)));
     }
 
-    private Moment now() {
-        return new Moment(monoUs.getAsLong(), System.currentTimeMillis());
+    private ClockReading now() {
+        return new ClockReading(monotonicUs.getAsLong(), System.currentTimeMillis());
     }
 
     /** The shared state as last published; never null. Thread-safe. */
@@ -287,28 +287,28 @@
      * Stops: gives up duties and, if {@code leaves}, tells the peers that this courier leaves, which it does not during
      * an upgrade. Thread-safe; returns at once.
      */
-    public void end(final boolean leaves) {
+    public void stop(final boolean leaves) {
         loop.execute(() -> {
-            if (state != null && !ended) {
-                guarded("the end", () -> state.end(now(), leaves));
+            if (state != null && !stopped) {
+                runGuarded("the end", () -> state.end(now(), leaves));
             }
-            ended = true;
+            stopped = true;
             if (channel != null) {
                 channel.close();
             }
-            group.shutdownGracefully(0, END_MS, TimeUnit.MILLISECONDS);
+            group.shutdownGracefully(0, SHUTDOWN_MS, TimeUnit.MILLISECONDS);
         });
     }
 
-    private void tell() {
+    private void logState() {
         if (state == null) {
             return;
         }
         final String drops =
-                "unknown senders " + strangers + ", reports " + droppedReports.get() + ", frames " + state.drops();
-        if (!drops.equals(told)
-                && (strangers > 0 || droppedReports.get() > 0 || !state.drops().isEmpty())) {
-            told = drops;
+                "unknown senders " + unknownSenders + ", reports " + droppedReports.get() + ", frames " + state.drops();
+        if (!drops.equals(loggedDrops)
+                && (unknownSenders > 0 || droppedReports.get() > 0 || !state.drops().isEmpty())) {
+            loggedDrops = drops;
             events.event("fleet_dropped", "msg", drops);
         }
         events.event("fleet_state", "msg", state.describe(now()));
--- a/src/main/java/driftchute/node/fleet/FleetSettings.java
+++ b/src/main/java/driftchute/node/fleet/FleetSettings.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-import driftchute.fleet.FleetBlock;
+import driftchute.fleet.FleetConfig;
 import java.net.InetSocketAddress;
 import java.util.List;
 
@@ -13,7 +13,7 @@
  * The settings for sharing state: the address for datagrams, the peers' addresses by number, this courier's number, and
  * the {@code fleet} block of the configuration.
  */
-public record FleetSettings(InetSocketAddress listen, List<InetSocketAddress> peers, int self, FleetBlock block) {
+public record FleetSettings(InetSocketAddress listen, List<InetSocketAddress> peers, int self, FleetConfig block) {
     private static final ObjectMapper JSON = JsonMapper.builder()
             .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
             .build();
@@ -34,9 +34,9 @@
      *
      * @throws IllegalArgumentException with one line that names the problem
      */
-    public static FleetBlock block(final JsonNode node) {
+    public static FleetConfig block(final JsonNode node) {
         try {
-            return JSON.treeToValue(node, FleetBlock.class);
+            return JSON.treeToValue(node, FleetConfig.class);
         } catch (final JsonProcessingException e) {
             Throwable cause = e;
             while (cause.getCause() != null && cause.getCause() != cause) {
