--- a/src/main/java/driftchute/fleet/lane/Accounts.java
+++ b/src/main/java/driftchute/fleet/lane/AccountHash.java
@@ -7,7 +7,7 @@
  * settings. FNV-1a (draft-eastlake-fnv) followed by the finisher of MurmurHash3, because FNV alone hardly changes the
  * high bits for short names.
  */
-public final class Accounts {
+public final class AccountHash {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
     private static final long MIX_1 = 0xff51afd7ed558ccdL;
@@ -15,7 +15,7 @@
     private static final int HALF = 33;
     private static final int BYTE = 0xFF;
 
-    private Accounts() {}
+    private AccountHash() {}
 
     /** The account of this name: that of a tenant, a client or a connection. */
     public static long hash(final String name) {
--- a/src/main/java/driftchute/fleet/lane/Duty.java
+++ b/src/main/java/driftchute/fleet/lane/AllocatorRole.java
@@ -5,7 +5,7 @@
 import java.util.OptionalLong;
 
 /** The allocator's role, as held by leases. */
-public interface Duty {
+public interface AllocatorRole {
     /** The fencing token under which this courier holds the role now, or none. */
     OptionalLong held(ClockReading now);
 
--- a/src/main/java/driftchute/fleet/lane/DemandMessage.java
+++ b/src/main/java/driftchute/fleet/lane/DemandMessage.java
@@ -36,9 +36,9 @@
     static Message read(final ByteBuffer body) throws MalformedMessageException {
         final int digest = body.getInt();
         final long destination = body.getLong();
-        final Long[] tenths = new Long[LaneBytes.count(body)];
+        final Long[] tenths = new Long[LaneFields.count(body)];
         for (int i = 0; i < tenths.length; i++) {
-            tenths[i] = LaneBytes.atMost(MAX_TENTHS, body);
+            tenths[i] = LaneFields.atMost(MAX_TENTHS, body);
         }
         return new DemandMessage(digest, destination, List.of(tenths));
     }
--- a/src/main/java/driftchute/fleet/lane/DemandTable.java
+++ b/src/main/java/driftchute/fleet/lane/DemandTable.java
@@ -12,16 +12,16 @@
     static final int MAX_DESTINATIONS = 1024;
 
     /** One courier's report; {@code perSecond} is null if it uses another configuration. */
-    private record Word(double[] perSecond, long untilUs) {}
+    private record DemandReport(double[] perSecond, long untilUs) {}
 
     /**
      * The couriers that reported on a destination, their demand by lane, and the part of them that uses this
      * configuration.
      */
-    record Sum(Set<Integer> couriers, double[] perSecond, double ofThisBlock) {}
+    record TotalDemand(Set<Integer> couriers, double[] perSecond, double sameConfigShare) {}
 
     private final int lanes;
-    private final Map<Long, Map<Integer, Word>> words = new TreeMap<>();
+    private final Map<Long, Map<Integer, DemandReport>> reports = new TreeMap<>();
 
     DemandTable(final int lanes) {
         this.lanes = lanes;
@@ -29,29 +29,29 @@
 
     /** Stores a courier's offered load; null if it uses another configuration. Returns false if there is no space. */
     boolean put(final long destination, final int courier, final double[] perSecond, final long untilUs) {
-        if (!words.containsKey(destination) && words.size() >= MAX_DESTINATIONS) {
+        if (!reports.containsKey(destination) && reports.size() >= MAX_DESTINATIONS) {
             return false;
         }
-        words.computeIfAbsent(destination, unused -> new HashMap<>()).put(courier, new Word(perSecond, untilUs));
+        reports.computeIfAbsent(destination, unused -> new HashMap<>()).put(courier, new DemandReport(perSecond, untilUs));
         return true;
     }
 
     /** Removes expired reports. */
     void expire(final long nowUs) {
-        words.values().forEach(byCourier -> byCourier.values().removeIf(word -> nowUs >= word.untilUs));
-        words.values().removeIf(Map::isEmpty);
+        reports.values().forEach(byCourier -> byCourier.values().removeIf(word -> nowUs >= word.untilUs));
+        reports.values().removeIf(Map::isEmpty);
     }
 
     /** The destinations in use. */
     Set<Long> destinations() {
-        return Set.copyOf(words.keySet());
+        return Set.copyOf(reports.keySet());
     }
 
     /** The total demand for a destination, over a fleet of so many couriers. */
-    Sum sum(final long destination, final int couriers) {
+    TotalDemand sum(final long destination, final int couriers) {
         final double[] perSecond = new double[lanes];
         int others = 0;
-        for (final Word word : words.get(destination).values()) {
+        for (final DemandReport word : reports.get(destination).values()) {
             if (word.perSecond == null) {
                 others++;
                 continue;
@@ -60,6 +60,6 @@
                 perSecond[i] += word.perSecond[i];
             }
         }
-        return new Sum(new TreeSet<>(words.get(destination).keySet()), perSecond, 1 - (double) others / couriers);
+        return new TotalDemand(new TreeSet<>(reports.get(destination).keySet()), perSecond, 1 - (double) others / couriers);
     }
 }
--- a/src/main/java/driftchute/fleet/lane/Gcra.java
+++ b/src/main/java/driftchute/fleet/lane/Gcra.java
@@ -9,14 +9,14 @@
     private static final double US_PER_S = 1e6;
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
-    private final long earlyUs;
-    private final long lateUs;
+    private final long maxEarlyUs;
+    private final long minLateUs;
     private double perSecond;
     private double dueUs = NEVER;
 
     private Gcra(final long earlyUs, final long lateUs) {
-        this.earlyUs = earlyUs;
-        this.lateUs = lateUs;
+        this.maxEarlyUs = earlyUs;
+        this.minLateUs = lateUs;
     }
 
     /** A ceiling: a message conforms if it comes at most {@code earlyUs} before it is due. */
@@ -47,13 +47,13 @@
 
     /** True if one more message conforms. */
     boolean conforms(final long nowUs) {
-        return perSecond > 0 && dueUs + lateUs <= nowUs + earlyUs;
+        return perSecond > 0 && dueUs + minLateUs <= nowUs + maxEarlyUs;
     }
 
     /** Records a message, whether it conformed or not. */
     void charge(final long nowUs) {
         if (perSecond > 0) {
-            dueUs = Math.min(Math.max(dueUs, nowUs - 2 * lateUs), nowUs + earlyUs) + US_PER_S / perSecond;
+            dueUs = Math.min(Math.max(dueUs, nowUs - 2 * minLateUs), nowUs + maxEarlyUs) + US_PER_S / perSecond;
         }
     }
 }
--- a/src/main/java/driftchute/fleet/lane/LaneBand.java
+++ b/src/main/java/driftchute/fleet/lane/LaneAdmissionBand.java
@@ -5,9 +5,9 @@
  * this by choosing accounts alone: a tenth of three tenants cannot be shed. Inside the band the choice of accounts
  * decides.
  */
-final class LaneBand {
+final class LaneAdmissionBand {
     /** Maximum relative deviation that the choice of accounts may cause; fifty accounts stay inside. */
-    private static final double WIDTH = 0.1;
+    private static final double BAND_WIDTH = 0.1;
     /** Time that the choice may run ahead or behind, us. A shorter one would be exceeded by random arrivals alone. */
     private static final long SLACK_US = 500_000;
     /** Maximum time that a lane may go without its guaranteed rate, us. */
@@ -16,7 +16,7 @@
      * The guarantee is judged over five seconds. This factor makes up for that lateness and the step between two
      * messages.
      */
-    private static final double MARGIN = 1.08;
+    private static final double GUARANTEE_MARGIN = 1.08;
 
     private final Gcra guarantee = Gcra.floor(LATE_US);
     private final Gcra floor = Gcra.floor(SLACK_US);
@@ -31,9 +31,9 @@
      */
     void tune(final long nowUs, final double offered, final double kept, final double guaranteed) {
         final double wanted = offered * kept;
-        guarantee.rate(nowUs, guaranteed * MARGIN);
-        floor.rate(nowUs, wanted * (1 - WIDTH));
-        ceiling.rate(nowUs, Math.max(guaranteed * MARGIN, wanted) * (1 + WIDTH));
+        guarantee.rate(nowUs, guaranteed * GUARANTEE_MARGIN);
+        floor.rate(nowUs, wanted * (1 - BAND_WIDTH));
+        ceiling.rate(nowUs, Math.max(guaranteed * GUARANTEE_MARGIN, wanted) * (1 + BAND_WIDTH));
         if (kept >= 1) {
             guarantee.restart(nowUs);
             floor.restart(nowUs);
--- a/src/main/java/driftchute/fleet/lane/Allotment.java
+++ b/src/main/java/driftchute/fleet/lane/LaneAllocation.java
@@ -1,8 +1,8 @@
 package driftchute.fleet.lane;
 
 /** Divides a limit among lanes: guaranteed shares first, the remainder by priority. Rates in messages per second. */
-final class Allotment {
-    private Allotment() {}
+final class LaneAllocation {
+    private LaneAllocation() {}
 
     /**
      * Each lane gets the lesser of its demand and its share of the limit. The remainder of {@code fill} x limit goes to
--- a/src/main/java/driftchute/fleet/lane/Allocator.java
+++ b/src/main/java/driftchute/fleet/lane/LaneAllocator.java
@@ -11,7 +11,7 @@
  * The allocator's side: computes a shedding level for each destination from all couriers' demand, and sends it to the
  * couriers that use that destination.
  */
-final class Allocator {
+final class LaneAllocator {
     /** How long the same accounts are shed, ms: longer than a client's retries, short compared to its patience. */
     static final long EPOCH_MS = 10_000;
     /** Maximum distance of another allocator's clock, in epochs (a minute). Greater ones are invalid. */
@@ -23,7 +23,7 @@
     private final LongSupplier sequence;
     private final EventLog events;
     private final DemandTable table;
-    private final Map<Long, ShedLevel> levels = new HashMap<>();
+    private final Map<Long, SheddingController> controllers = new HashMap<>();
     private final Map<Long, Integer> firstShed = new HashMap<>();
     private long epoch;
 
@@ -33,7 +33,7 @@
      * @param token the fencing token under which it decides
      * @param sequence numbers its messages in increasing order
      */
-    Allocator(
+    LaneAllocator(
             final Lanes lanes, final int couriers, final long token, final LongSupplier sequence, final EventLog events) {
         this.lanes = lanes;
         this.couriers = couriers;
@@ -48,7 +48,7 @@
     }
 
     /** Handles a courier's demand. Nothing is stored for a destination whose limit is unknown. */
-    void demand(final int from, final DemandMessage message, final double limit, final long untilUs) {
+    void onDemand(final int from, final DemandMessage message, final double limit, final long untilUs) {
         final boolean ours =
                 message.digest() == lanes.digest() && message.tenths().size() == lanes.count();
         if (limit > 0) {
@@ -60,28 +60,28 @@
      * Decides on all destinations and sends the levels to the couriers that use them. {@code heard}: levels of an
      * earlier allocator, which new ones continue.
      */
-    void decide(final ClockReading now, final Capacity capacity, final Map<Long, HeardLevel> heard, final Outbox out) {
+    void decide(final ClockReading now, final DestinationLimits capacity, final Map<Long, ReceivedLevel> heard, final Outbox out) {
         table.expire(now.monoUs());
-        levels.keySet().retainAll(table.destinations());
+        controllers.keySet().retainAll(table.destinations());
         epoch = Math.max(epoch, Math.max(0, now.wallMs()) / EPOCH_MS);
         for (final long destination : table.destinations()) {
-            final ShedLevel level = levels.computeIfAbsent(destination, unused -> begun(heard.get(destination)));
-            final DemandTable.Sum sum = table.sum(destination, couriers);
-            final double limit = capacity.limit(destination) * sum.ofThisBlock();
+            final SheddingController level = controllers.computeIfAbsent(destination, unused -> newController(heard.get(destination)));
+            final DemandTable.TotalDemand sum = table.sum(destination, couriers);
+            final double limit = capacity.limit(destination) * sum.sameConfigShare();
             level.decide(now.monoUs(), sum.perSecond(), limit);
-            final Level decided = level.at(epoch);
-            tell(destination, decided, sum, limit);
+            final SheddingLevel decided = level.at(epoch);
+            logLevel(destination, decided, sum, limit);
             final LevelMessage message = new LevelMessage(
                     lanes.digest(), destination, new LevelVersion(token, sequence.getAsLong()), decided);
             sum.couriers().forEach(courier -> out.send(courier, message));
         }
-        firstShed.keySet().retainAll(levels.keySet());
+        firstShed.keySet().retainAll(controllers.keySet());
     }
 
-    private ShedLevel begun(final HeardLevel heard) {
-        final ShedLevel level = new ShedLevel(lanes.shares());
+    private SheddingController newController(final ReceivedLevel heard) {
+        final SheddingController level = new SheddingController(lanes.shares());
         if (heard != null) {
-            level.goOnFrom(heard.level());
+            level.continueFrom(heard.level());
             if (heard.level().epoch() <= epoch + MAX_AHEAD) {
                 epoch = Math.max(epoch, heard.level().epoch());
             }
@@ -89,7 +89,7 @@
         return level;
     }
 
-    private void tell(final long destination, final Level decided, final DemandTable.Sum sum, final double limit) {
+    private void logLevel(final long destination, final SheddingLevel decided, final DemandTable.TotalDemand sum, final double limit) {
         final int first = decided.firstShed();
         final Integer before = firstShed.put(destination, first);
         if (first != (before == null ? -1 : before)) {
--- a/src/main/java/driftchute/fleet/lane/LanePart.java
+++ b/src/main/java/driftchute/fleet/lane/LaneComponent.java
@@ -14,30 +14,30 @@
  * The lanes' component of the control plane: reports this courier's offered load to the allocator, decides if this
  * courier is the allocator, and stores the received levels, each for one lease time (docs/fleet-lanes.md).
  */
-public final class LanePart implements Component {
+public final class LaneComponent implements Component {
     /** Reports and decisions per lease time: two may be lost before a report expires. */
-    private static final int IN_RATION_TIME = 3;
+    private static final int REPORTS_PER_LEASE = 3;
     /**
      * How long an expired level is remembered, us: datagrams may be seconds late, and a new allocator continues from
      * it.
      */
-    private static final long REMEMBERED_US = 10_000_000;
+    private static final long REMEMBER_LEVEL_US = 10_000_000;
 
     /** The last level received for a destination. */
-    private record Last(LevelVersion version, HeardLevel level) {}
+    private record LastLevel(LevelVersion version, ReceivedLevel level) {}
 
     private final int couriers;
-    private final long rationUs;
+    private final long leaseUs;
     private final Supplier<Lanes> current;
-    private final Duty duty;
-    private final Capacity capacity;
+    private final AllocatorRole role;
+    private final DestinationLimits limits;
     private final EventLog events;
-    private final Map<Long, Last> heard = new HashMap<>();
+    private final Map<Long, LastLevel> received = new HashMap<>();
     private Map<Long, double[]> offered = Map.of();
     private long offeredUntilUs;
     private Lanes lanes;
-    private Allocator allocator;
-    private int toldForeign;
+    private LaneAllocator allocator;
+    private int loggedDigest;
     /**
      * Numbers the levels that this courier decides. Never restarts, because several allocators may hold one token in
      * turn.
@@ -52,31 +52,31 @@
      * @param rationUs how long a level is valid, us
      * @param current the lanes in force, which may change
      */
-    public LanePart(
+    public LaneComponent(
             final int couriers,
-            final long rationUs,
+            final long leaseUs,
             final Supplier<Lanes> current,
-            final Duty duty,
-            final Capacity capacity,
+            final AllocatorRole role,
+            final DestinationLimits limits,
             final EventLog events) {
         this.couriers = couriers;
-        this.rationUs = rationUs;
+        this.leaseUs = leaseUs;
         this.current = current;
-        this.duty = duty;
-        this.capacity = capacity;
+        this.role = role;
+        this.limits = limits;
         this.events = events;
         this.lanes = current.get();
     }
 
-    /** Sets this courier's offered load, messages per second by destination and lane, from {@link Shedder#turn}. */
-    public void offered(final ClockReading now, final Map<Long, double[]> perSecond) {
+    /** Sets this courier's offered load, messages per second by destination and lane, from {@link LoadShedder#turn}. */
+    public void setOffered(final ClockReading now, final Map<Long, double[]> perSecond) {
         offered = Map.copyOf(perSecond);
-        offeredUntilUs = now.monoUs() + rationUs;
+        offeredUntilUs = now.monoUs() + leaseUs;
     }
 
     /** The view for the traffic. */
     public LaneView view(final ClockReading now) {
-        forget(now);
+        expire(now);
         return new LaneView(lanes, levels());
     }
 
@@ -87,71 +87,71 @@
 
     @Override
     public void receive(final ClockReading now, final int from, final Message message, final Outbox out) {
-        adopt();
-        if (message instanceof DemandMessage demand && holds(now)) {
-            allocator.demand(from, demand, capacity.limit(demand.destination()), now.monoUs() + rationUs);
+        updateLanes();
+        if (message instanceof DemandMessage demand && isAllocator(now)) {
+            allocator.onDemand(from, demand, limits.limit(demand.destination()), now.monoUs() + leaseUs);
         } else if (message instanceof LevelMessage level) {
-            hear(now, from, level);
+            onLevel(now, from, level);
         }
     }
 
-    private void hear(final ClockReading now, final int from, final LevelMessage message) {
-        final Last last = heard.get(message.destination());
-        final boolean fromHolder = duty.accepts(message.version().token())
-                && duty.holder(now).map(holder -> holder == from).orElse(true);
+    private void onLevel(final ClockReading now, final int from, final LevelMessage message) {
+        final LastLevel last = received.get(message.destination());
+        final boolean fromHolder = role.accepts(message.version().token())
+                && role.holder(now).map(holder -> holder == from).orElse(true);
         if (fromHolder && message.digest() != lanes.digest()) {
-            foreign(from, message.digest());
+            logForeignConfig(from, message.digest());
             return;
         }
         final boolean news = last == null
-                ? heard.size() < DemandTable.MAX_DESTINATIONS
+                ? received.size() < DemandTable.MAX_DESTINATIONS
                 : message.version().compareTo(last.version) > 0;
         if (!fromHolder || !news || message.level().lanes() != lanes.count()) {
             return;
         }
-        heard.put(
+        received.put(
                 message.destination(),
-                new Last(message.version(), new HeardLevel(message.level(), now.monoUs() + rationUs)));
+                new LastLevel(message.version(), new ReceivedLevel(message.level(), now.monoUs() + leaseUs)));
     }
 
     /**
      * The allocator uses another configuration, so that this courier decides by itself. Logged once per configuration.
      */
-    private void foreign(final int from, final int digest) {
-        if (digest != toldForeign) {
-            toldForeign = digest;
+    private void logForeignConfig(final int from, final int digest) {
+        if (digest != loggedDigest) {
+            loggedDigest = digest;
             events.event("lane_level_foreign", "courier", from, "digest", digest, "held", lanes.digest());
         }
     }
 
-    private void forget(final ClockReading now) {
-        heard.values().removeIf(last -> now.monoUs() >= last.level.untilUs() + REMEMBERED_US);
+    private void expire(final ClockReading now) {
+        received.values().removeIf(last -> now.monoUs() >= last.level.untilUs() + REMEMBER_LEVEL_US);
     }
 
-    private Map<Long, HeardLevel> levels() {
-        final Map<Long, HeardLevel> levels = new HashMap<>();
-        heard.forEach((destination, last) -> levels.put(destination, last.level));
+    private Map<Long, ReceivedLevel> levels() {
+        final Map<Long, ReceivedLevel> levels = new HashMap<>();
+        received.forEach((destination, last) -> levels.put(destination, last.level));
         return levels;
     }
 
-    private void adopt() {
+    private void updateLanes() {
         final Lanes next = current.get();
         if (next != lanes) {
             if (next.digest() != lanes.digest()) {
-                heard.clear();
+                received.clear();
                 offered = Map.of();
             }
             lanes = next;
-            toldForeign = 0;
+            loggedDigest = 0;
         }
     }
 
-    private boolean holds(final ClockReading now) {
-        final OptionalLong token = duty.held(now);
+    private boolean isAllocator(final ClockReading now) {
+        final OptionalLong token = role.held(now);
         if (token.isEmpty()) {
             allocator = null;
         } else if (allocator == null || !allocator.decidesUnder(token.getAsLong(), lanes)) {
-            allocator = new Allocator(lanes, couriers, token.getAsLong(), () -> ++sequence, events);
+            allocator = new LaneAllocator(lanes, couriers, token.getAsLong(), () -> ++sequence, events);
         }
         return allocator != null;
     }
@@ -161,19 +161,19 @@
         if (now.monoUs() < dueUs) {
             return dueUs;
         }
-        dueUs = now.monoUs() + rationUs / IN_RATION_TIME;
-        adopt();
-        forget(now);
+        dueUs = now.monoUs() + leaseUs / REPORTS_PER_LEASE;
+        updateLanes();
+        expire(now);
         if (now.monoUs() < offeredUntilUs) {
-            duty.holder(now)
+            role.holder(now)
                     .ifPresent(holder -> offered.forEach((destination, perSecond) -> {
                         if (perSecond.length == lanes.count()) {
                             out.send(holder, DemandMessage.of(lanes.digest(), destination, perSecond));
                         }
                     }));
         }
-        if (holds(now)) {
-            allocator.decide(now, capacity, levels(), out);
+        if (isAllocator(now)) {
+            allocator.decide(now, limits, levels(), out);
         }
         return dueUs;
     }
--- a/src/main/java/driftchute/fleet/lane/BlockMessage.java
+++ b/src/main/java/driftchute/fleet/lane/LaneConfigMessage.java
@@ -10,7 +10,7 @@
  *
  * @param asks the sender has not heard which configuration the receiver has
  */
-record BlockMessage(int version, int digest, boolean asks) implements Message {
+record LaneConfigMessage(int version, int digest, boolean requestsReply) implements Message {
     static final int TYPE = 0x52;
 
     static Message read(final ByteBuffer body) throws MalformedMessageException {
@@ -18,7 +18,7 @@
         if (asks < 0 || asks > 1) {
             throw new MalformedMessageException("invalid boolean: " + asks);
         }
-        return new BlockMessage((int) LaneBytes.atMost(Integer.MAX_VALUE, body), body.getInt(), asks == 1);
+        return new LaneConfigMessage((int) LaneFields.atMost(Integer.MAX_VALUE, body), body.getInt(), asks == 1);
     }
 
     @Override
@@ -33,7 +33,7 @@
 
     @Override
     public void write(final ByteBuffer into) {
-        into.put((byte) (asks ? 1 : 0));
+        into.put((byte) (requestsReply ? 1 : 0));
         Varint.put(into, version);
         into.putInt(digest);
     }
--- a/src/main/java/driftchute/fleet/lane/BlockVersions.java
+++ b/src/main/java/driftchute/fleet/lane/LaneConfigVersions.java
@@ -16,35 +16,35 @@
  * of the configured couriers has its version or a later one. Until then the stricter of the two applies
  * (docs/fleet-lanes.md).
  */
-public final class BlockVersions implements Component, GossipSource {
+public final class LaneConfigVersions implements Component, GossipSource {
     /** When a change is sent to all, after it occurred: with 30% loss, one peer in a hundred has missed all four. */
-    private static final long[] TOLD_AT_US = {0, 1_000_000, 3_000_000, 7_000_000};
+    private static final long[] SEND_AFTER_US = {0, 1_000_000, 3_000_000, 7_000_000};
     /** Interval of gossip about versions, us. It costs 3 to 5 bytes per second, whatever the fleet's size. */
-    private static final long RIDE_US = 2_500_000;
+    private static final long GOSSIP_INTERVAL_US = 2_500_000;
     /**
      * Size of the type and length before a body, bytes (PROTOCOL-irishead.md for the datagram; docs/one-fleet.md for
      * the frame).
      */
-    private static final int PREFIX = 2;
+    private static final int PREFIX_BYTES = 2;
 
     private final Tier tier;
     private final EventLog events;
-    private final Map<Integer, BlockMessage> peers = new HashMap<>();
+    private final Map<Integer, LaneConfigMessage> peers = new HashMap<>();
     private Lanes inForce;
     private Lanes pending;
     private Lanes stricter;
     private long changedUs;
-    private int told;
+    private int timesSent;
     private boolean started;
-    private long rodeUs;
-    private int behind;
+    private long lastGossipUs;
+    private int majorityVersion;
 
     /** Starts with the only configuration that this courier has. */
-    public BlockVersions(final Tier tier, final Lanes first, final EventLog events) {
+    public LaneConfigVersions(final Tier tier, final Lanes first, final EventLog events) {
         this.tier = tier;
         this.inForce = first;
         this.events = events;
-        this.behind = first.version();
+        this.majorityVersion = first.version();
     }
 
     /** The lanes that apply now. */
@@ -71,60 +71,60 @@
         }
         pending = next;
         stricter = Lanes.stricter(inForce, pending);
-        changed(now);
+        onChanged(now);
         events.event("lanes_pending", "version", next.version(), "in_force", inForce.version());
-        weigh();
+        checkMajority();
     }
 
-    private void changed(final ClockReading now) {
+    private void onChanged(final ClockReading now) {
         changedUs = now.monoUs();
-        rodeUs = changedUs;
-        told = 0;
+        lastGossipUs = changedUs;
+        timesSent = 0;
         started = true;
     }
 
     @Override
     public Map<Integer, Message.Reader> readers() {
-        return Map.of(BlockMessage.TYPE, BlockMessage::read);
+        return Map.of(LaneConfigMessage.TYPE, LaneConfigMessage::read);
     }
 
     @Override
     public void receive(final ClockReading now, final int from, final Message message, final Outbox out) {
-        if (!(message instanceof BlockMessage block) || from == tier.self()) {
+        if (!(message instanceof LaneConfigMessage block) || from == tier.self()) {
             return;
         }
-        final BlockMessage before = peers.put(from, block);
+        final LaneConfigMessage before = peers.put(from, block);
         if (block.version() == latest().version()
                 && block.digest() != latest().digest()
                 && (before == null || before.digest() != block.digest())) {
             events.event("lanes_differ", "courier", from, "version", block.version());
         }
-        if (block.asks()) {
-            out.send(from, mine(from, false));
+        if (block.requestsReply()) {
+            out.send(from, ownMessage(from, false));
         }
-        weigh();
+        checkMajority();
     }
 
     /**
      * Brings the pending configuration into force if a majority has it, and logs if a majority has one that this
      * courier lacks.
      */
-    private void weigh() {
+    private void checkMajority() {
         if (pending != null && holders(pending.version(), pending.digest()) + 1 >= tier.majority()) {
             inForce = pending;
             pending = null;
             stricter = null;
             events.event("lanes_in_force", "version", inForce.version());
         }
-        final int mine = Math.max(behind, latest().version());
+        final int ownVersion = Math.max(majorityVersion, latest().version());
         final List<Integer> later = peers.values().stream()
-                .map(BlockMessage::version)
-                .filter(version -> version > mine)
+                .map(LaneConfigMessage::version)
+                .filter(version -> version > ownVersion)
                 .sorted()
                 .toList();
         if (later.size() >= tier.majority()) {
-            behind = later.get(later.size() - tier.majority());
-            events.event("lanes_behind", "version", behind, "held", latest().version());
+            majorityVersion = later.get(later.size() - tier.majority());
+            events.event("lanes_behind", "version", majorityVersion, "held", latest().version());
         }
     }
 
@@ -134,33 +134,33 @@
                 .count();
     }
 
-    private BlockMessage mine(final int peer, final boolean asking) {
-        return new BlockMessage(latest().version(), latest().digest(), asking && !peers.containsKey(peer));
+    private LaneConfigMessage ownMessage(final int peer, final boolean asking) {
+        return new LaneConfigMessage(latest().version(), latest().digest(), asking && !peers.containsKey(peer));
     }
 
     @Override
     public long tick(final ClockReading now, final Outbox out) {
         if (!started) {
-            changed(now);
+            onChanged(now);
         }
-        if (told < TOLD_AT_US.length && now.monoUs() >= changedUs + TOLD_AT_US[told]) {
-            told++;
+        if (timesSent < SEND_AFTER_US.length && now.monoUs() >= changedUs + SEND_AFTER_US[timesSent]) {
+            timesSent++;
             for (int peer = 0; peer < tier.size(); peer++) {
                 if (peer != tier.self()) {
-                    out.send(peer, mine(peer, true));
+                    out.send(peer, ownMessage(peer, true));
                 }
             }
         }
-        return told < TOLD_AT_US.length ? Math.max(now.monoUs() + 1, changedUs + TOLD_AT_US[told]) : Long.MAX_VALUE;
+        return timesSent < SEND_AFTER_US.length ? Math.max(now.monoUs() + 1, changedUs + SEND_AFTER_US[timesSent]) : Long.MAX_VALUE;
     }
 
     @Override
     public List<Message> gossip(final ClockReading now, final int peer, final int room) {
-        final BlockMessage mine = mine(peer, true);
-        if (!started || now.monoUs() - rodeUs < RIDE_US || mine.size() + PREFIX > room) {
+        final LaneConfigMessage mine = ownMessage(peer, true);
+        if (!started || now.monoUs() - lastGossipUs < GOSSIP_INTERVAL_US || mine.size() + PREFIX_BYTES > room) {
             return List.of();
         }
-        rodeUs = now.monoUs();
+        lastGossipUs = now.monoUs();
         return List.of(mine);
     }
 }
--- a/src/main/java/driftchute/fleet/lane/LaneBytes.java
+++ b/src/main/java/driftchute/fleet/lane/LaneFields.java
@@ -5,8 +5,8 @@
 import java.nio.ByteBuffer;
 
 /** Reads bounded fields of lane messages. */
-final class LaneBytes {
-    private LaneBytes() {}
+final class LaneFields {
+    private LaneFields() {}
 
     /** A number of lanes, 1 to {@link Lanes#MOST}. */
     static int count(final ByteBuffer from) throws MalformedMessageException {
--- a/src/main/java/driftchute/fleet/lane/LaneRates.java
+++ b/src/main/java/driftchute/fleet/lane/LaneRates.java
@@ -10,7 +10,7 @@
     private final double leastUs;
     private final double mostUs;
     private final double[] perSecond;
-    private boolean turned;
+    private boolean updated;
 
     /** Smooths over the time that so many messages take, within these bounds. */
     LaneRates(final int lanes, final int messages, final long leastUs, final long mostUs) {
@@ -21,7 +21,7 @@
     }
 
     /** Adds the counts of a period. */
-    void turn(final long[] counts, final double elapsedUs) {
+    void update(final long[] counts, final double elapsedUs) {
         double came = 0;
         double known = 0;
         for (int i = 0; i < counts.length; i++) {
@@ -29,12 +29,12 @@
             known += perSecond[i];
         }
         final double smoothUs = Math.min(mostUs, Math.max(leastUs, messages * US_PER_S / Math.max(came, known)));
-        final double weight = turned ? 1 - Math.exp(-elapsedUs / smoothUs) : 1;
+        final double weight = updated ? 1 - Math.exp(-elapsedUs / smoothUs) : 1;
         for (int i = 0; i < counts.length; i++) {
             perSecond[i] += weight * (counts[i] * US_PER_S / elapsedUs - perSecond[i]);
             perSecond[i] = perSecond[i] < MIN_PER_S ? 0 : perSecond[i];
         }
-        turned = true;
+        updated = true;
     }
 
     /** Messages per second by lane. */
--- a/src/main/java/driftchute/fleet/lane/Turns.java
+++ b/src/main/java/driftchute/fleet/lane/LaneScheduler.java
@@ -4,15 +4,15 @@
  * Chooses the lane to serve next among messages held for one destination: a lane that is behind with its guaranteed
  * share, otherwise the first lane with a message. So premium goes first, and no lane starves.
  */
-public final class Turns {
-    /** How long a lane may be behind, us; as in {@link LaneBand}. */
+public final class LaneScheduler {
+    /** How long a lane may be behind, us; as in {@link LaneAdmissionBand}. */
     private static final long LATE_US = 150_000;
 
     private final Gcra[] guarantees;
     private final double[] shares;
 
     /** Creates the scheduler for these lanes. Other lanes need a new one. */
-    public Turns(final Lanes lanes) {
+    public LaneScheduler(final Lanes lanes) {
         this.shares = lanes.shares();
         this.guarantees = new Gcra[shares.length];
         for (int i = 0; i < guarantees.length; i++) {
@@ -21,7 +21,7 @@
     }
 
     /** Sets the rate that this courier may send there, messages per second; invalid values count as 0. */
-    public void part(final long nowUs, final double perSecond) {
+    public void setRate(final long nowUs, final double perSecond) {
         final double known = perSecond > 0 && perSecond < Double.POSITIVE_INFINITY ? perSecond : 0;
         for (int i = 0; i < guarantees.length; i++) {
             guarantees[i].rate(nowUs, shares[i] * known);
@@ -33,7 +33,7 @@
      *
      * @param waiting for each lane, whether it has a message that may be sent
      */
-    public int next(final long nowUs, final boolean[] waiting) {
+    public int nextLane(final long nowUs, final boolean[] waiting) {
         int first = -1;
         for (int i = guarantees.length - 1; i >= 0; i--) {
             if (!waiting[i]) {
@@ -51,7 +51,7 @@
     }
 
     /** A message of that lane was sent. */
-    public void gone(final long nowUs, final int lane) {
+    public void onSent(final long nowUs, final int lane) {
         guarantees[lane].charge(nowUs);
     }
 }
--- a/src/main/java/driftchute/fleet/lane/Lanes.java
+++ b/src/main/java/driftchute/fleet/lane/Lanes.java
@@ -22,9 +22,9 @@
 
     private final int version;
     private final int digest;
-    private final List<LaneConfig> blocks;
+    private final List<LaneConfig> configs;
     /** Lane by tenant and class; index 0 stands for none, the others are shifted by one. */
-    private final int[][] lane;
+    private final int[][] laneByTenantAndClass;
 
     private final long[] accounts;
 
@@ -36,8 +36,8 @@
             final long[] accounts) {
         this.version = version;
         this.digest = digest;
-        this.blocks = blocks;
-        this.lane = lane;
+        this.configs = blocks;
+        this.laneByTenantAndClass = lane;
         this.accounts = accounts;
     }
 
@@ -83,7 +83,7 @@
                 digest(block.version(), blocks),
                 blocks,
                 lane,
-                tenants.stream().mapToLong(Accounts::hash).toArray());
+                tenants.stream().mapToLong(AccountHash::hash).toArray());
     }
 
     private static Map<String, Integer> claims(
@@ -121,7 +121,7 @@
             each.tenants().stream().sorted().forEach(name -> text.append("\tt").append(name));
             each.classes().stream().sorted().forEach(name -> text.append("\tc").append(name));
         }
-        return (int) Accounts.hash(text.toString());
+        return (int) AccountHash.hash(text.toString());
     }
 
     /**
@@ -133,7 +133,7 @@
      */
     static Lanes stricter(final Lanes inForce, final Lanes pending) {
         require(
-                inForce.lane.length == pending.lane.length && inForce.lane[0].length == pending.lane[0].length,
+                inForce.laneByTenantAndClass.length == pending.laneByTenantAndClass.length && inForce.laneByTenantAndClass[0].length == pending.laneByTenantAndClass[0].length,
                 "blocks for different settings");
         final int last = inForce.count() - 1;
         final int[] named = new int[pending.count()];
@@ -141,13 +141,13 @@
             final int same = inForce.indexOf(pending.name(i));
             named[i] = same >= 0 ? same : Math.max(0, last - (pending.count() - 1 - i));
         }
-        final int[][] lane = new int[inForce.lane.length][inForce.lane[0].length];
+        final int[][] lane = new int[inForce.laneByTenantAndClass.length][inForce.laneByTenantAndClass[0].length];
         for (int t = 0; t < lane.length; t++) {
             for (int c = 0; c < lane[t].length; c++) {
-                lane[t][c] = Math.max(inForce.lane[t][c], named[pending.lane[t][c]]);
+                lane[t][c] = Math.max(inForce.laneByTenantAndClass[t][c], named[pending.laneByTenantAndClass[t][c]]);
             }
         }
-        final List<LaneConfig> blocks = inForce.blocks.stream()
+        final List<LaneConfig> blocks = inForce.configs.stream()
                 .map(old -> {
                     final int same = pending.indexOf(old.name());
                     return same < 0
@@ -170,7 +170,7 @@
     }
 
     private int indexOf(final String name) {
-        for (int i = 0; i < blocks.size(); i++) {
+        for (int i = 0; i < configs.size(); i++) {
             if (name(i).equals(name)) {
                 return i;
             }
@@ -180,27 +180,27 @@
 
     /** Number of lanes, at least one. */
     public int count() {
-        return blocks.size();
+        return configs.size();
     }
 
     /** The lane's name. */
     public String name(final int index) {
-        return blocks.get(index).name();
+        return configs.get(index).name();
     }
 
     /** The lane's guaranteed share of each destination's limit, 0 to 1. */
     public double share(final int index) {
-        return blocks.get(index).share();
+        return configs.get(index).share();
     }
 
     /** The guaranteed shares of all lanes. */
     double[] shares() {
-        return blocks.stream().mapToDouble(LaneConfig::share).toArray();
+        return configs.stream().mapToDouble(LaneConfig::share).toArray();
     }
 
     /** Messages per second, over the fleet, that an account may send in the lane; 0 means no bound. */
     public double quota(final int index) {
-        return blocks.get(index).quota();
+        return configs.get(index).quota();
     }
 
     /** Version of the configuration. */
@@ -215,14 +215,14 @@
 
     /** The lane of a message, by the settings' indexes of its class and tenant (-1 and unknown ones: none). */
     public int laneOf(final int messageClass, final int tenant) {
-        final int row = tenant < 0 || tenant >= lane.length - 1 ? 0 : tenant + 1;
-        final int column = messageClass < 0 || messageClass >= lane[row].length - 1 ? 0 : messageClass + 1;
-        return lane[row][column];
+        final int row = tenant < 0 || tenant >= laneByTenantAndClass.length - 1 ? 0 : tenant + 1;
+        final int column = messageClass < 0 || messageClass >= laneByTenantAndClass[row].length - 1 ? 0 : messageClass + 1;
+        return laneByTenantAndClass[row][column];
     }
 
     /** The account of a message: its tenant (index) if it has one, otherwise the named client. */
     public long account(final int tenant, final String client) {
-        return tenant >= 0 && tenant < accounts.length ? accounts[tenant] : Accounts.hash(client);
+        return tenant >= 0 && tenant < accounts.length ? accounts[tenant] : AccountHash.hash(client);
     }
 
     private static void require(final boolean kept, final String problem) {
--- a/src/main/java/driftchute/fleet/lane/LevelMessage.java
+++ b/src/main/java/driftchute/fleet/lane/LevelMessage.java
@@ -11,7 +11,7 @@
  *
  * @param digest the configuration that numbers the lanes
  */
-record LevelMessage(int digest, long destination, LevelVersion version, Level level) implements Message {
+record LevelMessage(int digest, long destination, LevelVersion version, SheddingLevel level) implements Message {
     static final int TYPE = 0x51;
     private static final int FIXED = Integer.BYTES + Long.BYTES + 1;
 
@@ -20,11 +20,11 @@
         final long destination = body.getLong();
         final LevelVersion version = new LevelVersion(Varint.get(body), Varint.get(body));
         final long epoch = Varint.get(body);
-        final int[] cuts = new int[LaneBytes.count(body)];
+        final int[] cuts = new int[LaneFields.count(body)];
         for (int i = 0; i < cuts.length; i++) {
-            cuts[i] = (int) LaneBytes.atMost(Level.SCALE, body);
+            cuts[i] = (int) LaneFields.atMost(SheddingLevel.SCALE, body);
         }
-        return new LevelMessage(digest, destination, version, new Level(epoch, cuts));
+        return new LevelMessage(digest, destination, version, new SheddingLevel(epoch, cuts));
     }
 
     @Override
--- a/src/main/java/driftchute/fleet/lane/HeardLevel.java
+++ b/src/main/java/driftchute/fleet/lane/ReceivedLevel.java
@@ -1,4 +1,4 @@
 package driftchute.fleet.lane;
 
 /** The fleet's level for a destination, valid until that time on this process's monotonic clock, us. */
-public record HeardLevel(Level level, long untilUs) {}
+public record ReceivedLevel(SheddingLevel level, long untilUs) {}
--- a/src/main/java/driftchute/fleet/lane/ShedLevel.java
+++ b/src/main/java/driftchute/fleet/lane/SheddingController.java
@@ -7,14 +7,14 @@
  * exceeds the limit, falls only after the load has stayed below a lower mark for a while, and never cuts a lane below
  * its guaranteed share (docs/fleet-lanes.md). Has no clock; times are passed in, us.
  */
-final class ShedLevel {
+final class SheddingController {
     /**
      * Load that a new level admits, relative to the limit: the middle of the band, so that small variations of demand
      * change nothing.
      */
-    private static final double AIM = 0.95;
+    private static final double TARGET_LOAD = 0.95;
     /** Below this part of the limit the level may fall. */
-    private static final double LOW = 0.9;
+    private static final double LOW_LOAD = 0.9;
     /** Time that the load must stay below it, us: several report periods, and longer than a burst. */
     private static final long CALM_US = 3_000_000;
 
@@ -27,16 +27,16 @@
 
     private final double[] shares;
     private final double[] kept;
-    private long calmFromUs = NOT_CALM;
+    private long calmSinceUs = NOT_CALM;
 
-    ShedLevel(final double[] shares) {
+    SheddingController(final double[] shares) {
         this.shares = shares.clone();
         this.kept = new double[shares.length];
         Arrays.fill(kept, 1);
     }
 
     /** Continues from another allocator's level if it has the same number of lanes. */
-    void goOnFrom(final Level level) {
+    void continueFrom(final SheddingLevel level) {
         for (int i = 0; i < kept.length && level.lanes() == kept.length; i++) {
             kept[i] = 1 - level.cut(i);
         }
@@ -50,7 +50,7 @@
     void decide(final long nowUs, final double[] demand, final double limit) {
         if (!(limit > 0) || Double.isInfinite(limit)) {
             Arrays.fill(kept, 1);
-            calmFromUs = NOT_CALM;
+            calmSinceUs = NOT_CALM;
             return;
         }
         double load = 0;
@@ -62,18 +62,18 @@
             load += kept[i] * demand[i];
         }
         if (load > limit * (1 + ROUNDING)) {
-            set(demand, limit);
-        } else if (load >= LOW * limit || !sheds()) {
-            calmFromUs = NOT_CALM;
-        } else if (calmFromUs == NOT_CALM) {
-            calmFromUs = nowUs;
-        } else if (nowUs - calmFromUs >= CALM_US) {
-            set(demand, limit);
+            setLevel(demand, limit);
+        } else if (load >= LOW_LOAD * limit || !isShedding()) {
+            calmSinceUs = NOT_CALM;
+        } else if (calmSinceUs == NOT_CALM) {
+            calmSinceUs = nowUs;
+        } else if (nowUs - calmSinceUs >= CALM_US) {
+            setLevel(demand, limit);
         }
     }
 
-    private void set(final double[] demand, final double limit) {
-        final double[] allotted = Allotment.of(demand, shares, limit, AIM);
+    private void setLevel(final double[] demand, final double limit) {
+        final double[] allotted = LaneAllocation.of(demand, shares, limit, TARGET_LOAD);
         boolean whole = true;
         for (int i = 0; i < kept.length; i++) {
             // A lane without a share and without demand now must not come in later ahead of one that is cut.
@@ -81,16 +81,16 @@
             kept[i] = demand[i] > 0 ? all ? 1 : allotted[i] / demand[i] : whole || shares[i] > 0 ? 1 : 0;
             whole &= kept[i] == 1;
         }
-        calmFromUs = NOT_CALM;
+        calmSinceUs = NOT_CALM;
     }
 
     /** True if any lane is cut. */
-    boolean sheds() {
+    boolean isShedding() {
         return Arrays.stream(kept).anyMatch(part -> part < 1);
     }
 
     /** The present level, for the accounts of this epoch. */
-    Level at(final long epoch) {
-        return Level.of(epoch, kept);
+    SheddingLevel at(final long epoch) {
+        return SheddingLevel.of(epoch, kept);
     }
 }
--- a/src/main/java/driftchute/fleet/lane/Level.java
+++ b/src/main/java/driftchute/fleet/lane/SheddingLevel.java
@@ -7,7 +7,7 @@
  * epoch, modulo 1; it is shed if its position is below its lane's cut. So all couriers with the same level shed the
  * same accounts, a higher cut sheds these and more, and the burden rotates evenly. Immutable.
  */
-public final class Level {
+public final class SheddingLevel {
     /** Cuts are in units of 2^-14: a varint of two bytes, and finer than any lane's number of accounts requires. */
     static final int SCALE = 1 << 14;
     /** The fractional part of the golden ratio in 64 bits. */
@@ -24,14 +24,14 @@
      * @param epoch 0 or more
      * @param cuts the part shed of each lane, in units of 1/{@link #SCALE}
      */
-    Level(final long epoch, final int[] cuts) {
+    SheddingLevel(final long epoch, final int[] cuts) {
         this.epoch = epoch;
         this.cuts = cuts.clone();
     }
 
     /** The level that admits these parts, 0 to 1, rounded up to the scale. */
-    static Level of(final long epoch, final double[] kept) {
-        return new Level(
+    static SheddingLevel of(final long epoch, final double[] kept) {
+        return new SheddingLevel(
                 epoch,
                 Arrays.stream(kept).mapToInt(part -> (int) ((1 - part) * SCALE)).toArray());
     }
@@ -57,8 +57,8 @@
     }
 
     /** The same cuts for another epoch. */
-    Level at(final long otherEpoch) {
-        return new Level(otherEpoch, cuts);
+    SheddingLevel at(final long otherEpoch) {
+        return new SheddingLevel(otherEpoch, cuts);
     }
 
     /** The first lane, in order, that is partly shed, or -1 if none is. */
@@ -78,7 +78,7 @@
 
     @Override
     public boolean equals(final Object other) {
-        return other instanceof Level level && level.epoch == epoch && Arrays.equals(level.cuts, cuts);
+        return other instanceof SheddingLevel level && level.epoch == epoch && Arrays.equals(level.cuts, cuts);
     }
 
     @Override
--- a/src/main/java/driftchute/fleet/session/Baseline.java
+++ b/src/main/java/driftchute/fleet/session/Baseline.java
@@ -10,10 +10,10 @@
  */
 final class Baseline {
     /** Health of a destination for the others. */
-    enum Standing {
+    enum Health {
         UNKNOWN,
-        WELL,
-        ILL
+        HEALTHY,
+        UNHEALTHY
     }
 
     private static final int MAX_DESTINATIONS = 256;
@@ -21,13 +21,13 @@
     /** With fewer other sessions, one random failure would look like an outage, or hide one. */
     private static final int MIN_OTHERS = 2;
     /** If at least this share of the others succeeds, a failure here has its own cause. */
-    private static final double WELL_SHARE = 0.75;
+    private static final double HEALTHY_SHARE = 0.75;
     /** If a smaller share succeeds and more than one fails, the destination fails. A single failure is no outage. */
-    private static final double ILL_SHARE = 2.0 / 3;
+    private static final double UNHEALTHY_SHARE = 2.0 / 3;
 
-    private record End(boolean well, long us) {}
+    private record LastCall(boolean succeeded, long us) {}
 
-    private final Latest<Latest<End>> destinations = new Latest<>(MAX_DESTINATIONS);
+    private final LruMap<LruMap<LastCall>> destinations = new LruMap<>(MAX_DESTINATIONS);
     private final long staleUs;
 
     /**
@@ -40,25 +40,25 @@
     }
 
     /** A call that is informative about this session has ended: the session was alone in it, or it succeeded. */
-    void ended(final long destination, final long session, final boolean well, final long nowUs) {
-        destinations.use(destination, unused -> new Latest<>(MAX_SESSIONS)).put(session, new End(well, nowUs));
+    void onCallEnded(final long destination, final long session, final boolean well, final long nowUs) {
+        destinations.use(destination, unused -> new LruMap<>(MAX_SESSIONS)).put(session, new LastCall(well, nowUs));
     }
 
     /** Health of the destination for sessions other than these. */
-    Standing others(final long destination, final Collection<Long> sessions, final long nowUs) {
-        final Latest<End> ends = destinations.get(destination);
+    Health healthForOthers(final long destination, final Collection<Long> sessions, final long nowUs) {
+        final LruMap<LastCall> ends = destinations.get(destination);
         int others = 0;
-        int well = 0;
-        for (final Map.Entry<Long, End> end :
-                ends == null ? Map.<Long, End>of().entrySet() : ends.all().entrySet()) {
+        int succeeded = 0;
+        for (final Map.Entry<Long, LastCall> end :
+                ends == null ? Map.<Long, LastCall>of().entrySet() : ends.entries().entrySet()) {
             if (!sessions.contains(end.getKey()) && nowUs - end.getValue().us() < staleUs) {
                 others++;
-                well += end.getValue().well() ? 1 : 0;
+                succeeded += end.getValue().succeeded() ? 1 : 0;
             }
         }
-        if (others - well > 1 && well < others * ILL_SHARE) {
-            return Standing.ILL;
+        if (others - succeeded > 1 && succeeded < others * UNHEALTHY_SHARE) {
+            return Health.UNHEALTHY;
         }
-        return others >= MIN_OTHERS && well >= others * WELL_SHARE ? Standing.WELL : Standing.UNKNOWN;
+        return others >= MIN_OTHERS && succeeded >= others * HEALTHY_SHARE ? Health.HEALTHY : Health.UNKNOWN;
     }
 }
--- a/src/main/java/driftchute/fleet/session/CallOutcome.java
+++ b/src/main/java/driftchute/fleet/session/CallOutcome.java
@@ -7,15 +7,15 @@
  * How a call to an endpoint ended as a whole, and the sessions whose messages it carried, one share per session. What
  * happened to single messages of an answered call does not matter, because it harmed no other.
  */
-public record CallOutcome(long destination, List<Share> shares, Ended ended) {
+public record CallOutcome(long destination, List<Share> shares, CallResult result) {
     /** The result of a call as a whole. */
-    public enum Ended {
+    public enum CallResult {
         /** Answered, and the answer could be parsed. */
-        WELL(true, false),
+        ANSWERED(true, false),
         /** Status 500. */
         ERROR(true, true),
         /** An answer that violates the protocol. */
-        SPOILT(true, true),
+        MALFORMED_ANSWER(true, true),
         /** The connection broke after the last byte was written. */
         RESET(true, true),
         /** No answer in time. */
@@ -23,14 +23,14 @@
         /** Status 400, 413, 429 or 503 for the whole call. */
         REFUSED(true, true),
         /** It never reached the endpoint, or this courier cancelled it: nothing is learnt. */
-        UNTRIED(false, false);
+        NOT_ATTEMPTED(false, false);
 
-        final boolean counted;
-        final boolean harm;
+        final boolean informative;
+        final boolean failed;
 
-        Ended(final boolean counted, final boolean harm) {
-            this.counted = counted;
-            this.harm = harm;
+        CallResult(final boolean counted, final boolean harm) {
+            this.informative = counted;
+            this.failed = harm;
         }
     }
 
@@ -43,7 +43,7 @@
      * @param retried number of them that were submitted again after no answer
      * @param effect the effect of their class
      */
-    public record Share(long session, int messages, long handedInUs, int largestBody, int retried, Effect effect) {}
+    public record Share(long session, int messages, long acceptedUs, int largestBodyBytes, int retried, Effect effect) {}
 
     /**
      * Checks the shares.
--- a/src/main/java/driftchute/fleet/session/Counters.java
+++ b/src/main/java/driftchute/fleet/session/Counters.java
@@ -19,14 +19,14 @@
  * @param effects bit set of the effects of its classes
  */
 record Counters(
-        long life,
-        long calls,
-        long harms,
-        long merged,
-        long mergedHarms,
-        long dependent,
-        long retried,
-        long large,
+        long processGeneration,
+        long ownCalls,
+        long failedCalls,
+        long mergedCalls,
+        long mergedFailures,
+        long dependentCalls,
+        long retriedCalls,
+        long largeCalls,
         int effects) {
     /** Upper bound: far above any count of calls, and far enough below 2^63 for the sum over all couriers. */
     static final long MAX = 1L << 40;
@@ -34,26 +34,26 @@
     private static final int MAX_EFFECTS = 7;
 
     Counters {
-        if (life < 0
-                || bad(harms, calls)
-                || bad(mergedHarms, merged)
-                || bad(dependent, MAX)
-                || bad(retried, MAX)
-                || bad(large, MAX)
-                || bad(calls, MAX)
-                || bad(merged, MAX)
+        if (processGeneration < 0
+                || outOfBounds(failedCalls, ownCalls)
+                || outOfBounds(mergedFailures, mergedCalls)
+                || outOfBounds(dependentCalls, MAX)
+                || outOfBounds(retriedCalls, MAX)
+                || outOfBounds(largeCalls, MAX)
+                || outOfBounds(ownCalls, MAX)
+                || outOfBounds(mergedCalls, MAX)
                 || effects < 0
                 || effects > MAX_EFFECTS) {
             throw new IllegalArgumentException("impossible counters");
         }
     }
 
-    private static boolean bad(final long value, final long most) {
+    private static boolean outOfBounds(final long value, final long most) {
         return value < 0 || value > most;
     }
 
-    static Counters none(final long life) {
-        return new Counters(life, 0, 0, 0, 0, 0, 0, 0, 0);
+    static Counters none(final long processGeneration) {
+        return new Counters(processGeneration, 0, 0, 0, 0, 0, 0, 0, 0);
     }
 
     /**
@@ -61,60 +61,60 @@
      * idempotent.
      */
     Counters join(final Counters other) {
-        if (life != other.life) {
-            return life > other.life ? this : other;
+        if (processGeneration != other.processGeneration) {
+            return processGeneration > other.processGeneration ? this : other;
         }
         return new Counters(
-                life,
-                Math.max(calls, other.calls),
-                Math.max(harms, other.harms),
-                Math.max(merged, other.merged),
-                Math.max(mergedHarms, other.mergedHarms),
-                Math.max(dependent, other.dependent),
-                Math.max(retried, other.retried),
-                Math.max(large, other.large),
+                processGeneration,
+                Math.max(ownCalls, other.ownCalls),
+                Math.max(failedCalls, other.failedCalls),
+                Math.max(mergedCalls, other.mergedCalls),
+                Math.max(mergedFailures, other.mergedFailures),
+                Math.max(dependentCalls, other.dependentCalls),
+                Math.max(retriedCalls, other.retriedCalls),
+                Math.max(largeCalls, other.largeCalls),
                 effects | other.effects);
     }
 
     Counters plusCall(final boolean harm) {
         return new Counters(
-                life, calls + 1, harms + (harm ? 1 : 0), merged, mergedHarms, dependent, retried, large, effects);
+                processGeneration, ownCalls + 1, failedCalls + (harm ? 1 : 0), mergedCalls, mergedFailures, dependentCalls, retriedCalls, largeCalls, effects);
     }
 
     Counters plusMerged(final boolean harm) {
         return new Counters(
-                life, calls, harms, merged + 1, mergedHarms + (harm ? 1 : 0), dependent, retried, large, effects);
+                processGeneration, ownCalls, failedCalls, mergedCalls + 1, mergedFailures + (harm ? 1 : 0), dependentCalls, retriedCalls, largeCalls, effects);
     }
 
     /** Adds one call's properties. */
-    Counters plusHabits(final int moreDependent, final boolean again, final boolean big, final int effect) {
+    Counters plusProperties(final int moreDependent, final boolean again, final boolean big, final int effect) {
         return new Counters(
-                life,
-                calls,
-                harms,
-                merged,
-                mergedHarms,
-                dependent + moreDependent,
-                retried + (again ? 1 : 0),
-                large + (big ? 1 : 0),
+                processGeneration,
+                ownCalls,
+                failedCalls,
+                mergedCalls,
+                mergedFailures,
+                dependentCalls + moreDependent,
+                retriedCalls + (again ? 1 : 0),
+                largeCalls + (big ? 1 : 0),
                 effects | effect);
     }
 
     /** Encoded size without the process generation, which a message contains once. */
     int size() {
         return 1
-                + Varint.size(calls)
-                + Varint.size(harms)
-                + Varint.size(merged)
-                + Varint.size(mergedHarms)
-                + Varint.size(dependent)
-                + Varint.size(retried)
-                + Varint.size(large);
+                + Varint.size(ownCalls)
+                + Varint.size(failedCalls)
+                + Varint.size(mergedCalls)
+                + Varint.size(mergedFailures)
+                + Varint.size(dependentCalls)
+                + Varint.size(retriedCalls)
+                + Varint.size(largeCalls);
     }
 
     void write(final ByteBuffer into) {
         into.put((byte) effects);
-        for (final long value : new long[] {calls, harms, merged, mergedHarms, dependent, retried, large}) {
+        for (final long value : new long[] {ownCalls, failedCalls, mergedCalls, mergedFailures, dependentCalls, retriedCalls, largeCalls}) {
             Varint.put(into, value);
         }
     }
@@ -124,10 +124,10 @@
      *
      * @throws IllegalArgumentException for impossible figures
      */
-    static Counters read(final long life, final ByteBuffer from) throws MalformedMessageException {
+    static Counters read(final long processGeneration, final ByteBuffer from) throws MalformedMessageException {
         final int effects = from.get();
         return new Counters(
-                life,
+                processGeneration,
                 Varint.get(from),
                 Varint.get(from),
                 Varint.get(from),
--- a/src/main/java/driftchute/fleet/session/Counts.java
+++ b/src/main/java/driftchute/fleet/session/CountersMessage.java
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /** Some of the sender's own counters, all of the process that sends them. */
-record Counts(long life, List<Row> rows) implements Message {
+record CountersMessage(long processGeneration, List<Row> rows) implements Message {
     static final int TYPE = 0x62;
 
     /** One session's counters within an epoch. */
@@ -19,7 +19,7 @@
         }
     }
 
-    Counts {
+    CountersMessage {
         rows = List.copyOf(rows);
     }
 
@@ -30,12 +30,12 @@
 
     @Override
     public int size() {
-        return Varint.size(life) + rows.stream().mapToInt(Row::size).sum();
+        return Varint.size(processGeneration) + rows.stream().mapToInt(Row::size).sum();
     }
 
     @Override
     public void write(final ByteBuffer into) {
-        Varint.put(into, life);
+        Varint.put(into, processGeneration);
         for (final Row row : rows) {
             into.putLong(row.session());
             Varint.put(into, row.epoch());
@@ -49,8 +49,8 @@
      * @throws MalformedMessageException for an impossible epoch
      * @throws IllegalArgumentException for impossible counters
      */
-    static Counts read(final ByteBuffer from) throws MalformedMessageException {
-        final long life = Varint.get(from);
+    static CountersMessage read(final ByteBuffer from) throws MalformedMessageException {
+        final long processGeneration = Varint.get(from);
         final List<Row> rows = new ArrayList<>();
         while (from.hasRemaining()) {
             final long session = from.getLong();
@@ -58,13 +58,13 @@
             if (epoch > SessionState.MAX_EPOCH) {
                 throw new MalformedMessageException("invalid session epoch: " + epoch);
             }
-            rows.add(new Row(session, (int) epoch, Counters.read(life, from)));
+            rows.add(new Row(session, (int) epoch, Counters.read(processGeneration, from)));
         }
-        return new Counts(life, rows);
+        return new CountersMessage(processGeneration, rows);
     }
 
     /** Maximum size of rows in a datagram that has {@code left} bytes for this message with its prefix. */
-    static int room(final long life, final int left) {
-        return Math.min(left - Rumours.PREFIX, FrameCodec.MAX_BODY) - Varint.size(life);
+    static int room(final long processGeneration, final int left) {
+        return Math.min(left - DemotionGossip.PREFIX_BYTES, FrameCodec.MAX_BODY) - Varint.size(processGeneration);
     }
 }
--- a/src/main/java/driftchute/fleet/session/Demotion.java
+++ b/src/main/java/driftchute/fleet/session/DemotionMessage.java
@@ -10,13 +10,13 @@
  *
  * @param epoch 1 to 2^20
  */
-record Demotion(boolean heard, long session, int epoch) implements Message {
-    static final int TELL = 0x60;
-    static final int HEARD = 0x61;
+record DemotionMessage(boolean isAnswer, long session, int epoch) implements Message {
+    static final int DEMOTED = 0x60;
+    static final int ACKNOWLEDGED = 0x61;
 
     @Override
     public int type() {
-        return heard ? HEARD : TELL;
+        return isAnswer ? ACKNOWLEDGED : DEMOTED;
     }
 
     @Override
@@ -35,12 +35,12 @@
      *
      * @throws MalformedMessageException for an impossible epoch
      */
-    static Demotion read(final boolean heard, final ByteBuffer from) throws MalformedMessageException {
+    static DemotionMessage read(final boolean heard, final ByteBuffer from) throws MalformedMessageException {
         final long session = from.getLong();
         final long epoch = Varint.get(from);
         if (epoch < 1 || epoch > SessionState.MAX_EPOCH) {
             throw new MalformedMessageException("invalid session epoch: " + epoch);
         }
-        return new Demotion(heard, session, (int) epoch);
+        return new DemotionMessage(heard, session, (int) epoch);
     }
 }
--- a/src/main/java/driftchute/fleet/session/Splitter.java
+++ b/src/main/java/driftchute/fleet/session/GroupTesting.java
@@ -16,12 +16,12 @@
  * call is split again. Several successful calls in a row clear a suspect. One that continues to fail alone is the
  * harmful one, and the other suspects of the same first failure (its chain) are cleared.
  */
-final class Splitter {
+final class GroupTesting {
     /**
      * Successful calls in a row that clear a suspect. A session that spoils half its calls passes with a probability of
      * 1/16.
      */
-    static final int CLEARING = 4;
+    static final int CALLS_TO_CLEAR = 4;
     /**
      * Each search from which a session came out unproven doubles them, up to 64: one that spoils a tenth passes once in
      * 850.
@@ -31,14 +31,14 @@
      * Successful calls after which one such search is forgotten: a third of the mean distance of two failures at a base
      * error rate of 1%.
      */
-    private static final int FORGIVING = 30;
+    private static final int CALLS_TO_FORGIVE = 30;
     /**
      * Failures since the first, and failures alone, that prove a session harmful if the rate of the latter also exceeds
      * this (Wilson, 95%).
      */
-    static final int PROOF = 4;
+    static final int FAILURES_FOR_PROOF = 4;
 
-    private static final int PROOF_ALONE = 2;
+    private static final int FAILURES_ALONE_FOR_PROOF = 2;
     private static final double PROOF_RATE = 0.05;
     /** A search without proof counts against at most so many last suspects: a group of this size is split once. */
     private static final int LAST_SUSPECTS = 3;
@@ -50,29 +50,29 @@
         final int group;
         final int failures;
         /** Number of sessions in the last failed call. */
-        final int among;
+        final int failedTogether;
         /** Failures and calls of the session alone. */
-        int alone;
+        int failuresAlone;
 
         int callsAlone;
-        int passes;
+        int successes;
 
         Suspect(final long chain, final int group, final int failures, final int among) {
             this.chain = chain;
             this.group = group;
             this.failures = failures;
-            this.among = among;
+            this.failedTogether = among;
         }
     }
 
     /** Recent searches from which a session came out unproven, and its successful calls since. */
-    private static final class Strikes {
+    private static final class UnprovenSearches {
         int count;
-        int passes;
+        int successes;
     }
 
-    private final Latest<Suspect> suspects = new Latest<>(MAX_SUSPECTS);
-    private final Latest<Strikes> strikes = new Latest<>(MAX_SUSPECTS);
+    private final LruMap<Suspect> suspects = new LruMap<>(MAX_SUSPECTS);
+    private final LruMap<UnprovenSearches> unprovenSearches = new LruMap<>(MAX_SUSPECTS);
     private final Random random;
     private long chains;
     private int groups;
@@ -82,7 +82,7 @@
      *
      * @param seed decides which half a session is in
      */
-    Splitter(final long seed) {
+    GroupTesting(final long seed) {
         random = new Random(seed);
     }
 
@@ -95,7 +95,7 @@
     /** The group of each suspect. */
     Map<Long, Integer> groups() {
         final Map<Long, Integer> all = new HashMap<>();
-        suspects.all().forEach((session, suspect) -> all.put(session, suspect.group));
+        suspects.entries().forEach((session, suspect) -> all.put(session, suspect.group));
         return all;
     }
 
@@ -103,7 +103,7 @@
      * A call with all of these has failed: splits them. A call of several groups was in flight when they were split, so
      * it says nothing new about those; its other sessions become suspects.
      */
-    void failed(final Collection<Long> sessions) {
+    void onFailed(final Collection<Long> sessions) {
         final Set<Integer> of = new HashSet<>();
         sessions.forEach(session -> of.add(groupOf(session)));
         final List<Long> split = new ArrayList<>(
@@ -133,38 +133,38 @@
      * A call with this session alone has failed. True if this proves it harmful, provided that the destination is
      * healthy for others.
      */
-    boolean failedAlone(final long session) {
+    boolean onFailedAlone(final long session) {
         final Suspect old = suspects.get(session);
         final Suspect now = old == null
                 ? new Suspect(++chains, ++groups, 1, 1)
-                : new Suspect(old.chain, old.group, old.failures + 1, old.among);
-        now.alone = old == null ? 1 : old.alone + 1;
+                : new Suspect(old.chain, old.group, old.failures + 1, old.failedTogether);
+        now.failuresAlone = old == null ? 1 : old.failuresAlone + 1;
         now.callsAlone = old == null ? 1 : old.callsAlone + 1;
         suspects.put(session, now);
-        return now.failures >= PROOF
-                && now.alone >= PROOF_ALONE
-                && Wilson.lower(now.alone, now.callsAlone) > PROOF_RATE;
+        return now.failures >= FAILURES_FOR_PROOF
+                && now.failuresAlone >= FAILURES_ALONE_FOR_PROOF
+                && WilsonInterval.lower(now.failuresAlone, now.callsAlone) > PROOF_RATE;
     }
 
     /**
      * A call with these succeeded. Returns those that it clears and that were the last suspects of an unproven search.
      */
-    List<Long> passed(final Collection<Long> sessions) {
+    List<Long> onSucceeded(final Collection<Long> sessions) {
         final List<Long> unproven = new ArrayList<>();
         for (final Long session : sessions) {
             final Suspect suspect = suspects.get(session);
-            final Strikes past = strikes.get(session);
+            final UnprovenSearches past = unprovenSearches.get(session);
             if (suspect == null) {
                 forgive(session, past);
                 continue;
             }
             suspect.callsAlone += sessions.size() == 1 ? 1 : 0;
-            if (++suspect.passes >= CLEARING << (past == null ? 0 : past.count)) {
+            if (++suspect.successes >= CALLS_TO_CLEAR << (past == null ? 0 : past.count)) {
                 suspects.remove(session);
-                final Strikes now = strikes.use(session, unused -> new Strikes());
+                final UnprovenSearches now = unprovenSearches.use(session, unused -> new UnprovenSearches());
                 now.count = Math.min(MAX_STRIKES, now.count + 1);
-                now.passes = 0;
-                if (suspect.among > 1 && suspect.among <= LAST_SUSPECTS) {
+                now.successes = 0;
+                if (suspect.failedTogether > 1 && suspect.failedTogether <= LAST_SUSPECTS) {
                     unproven.add(session);
                 }
             }
@@ -172,23 +172,23 @@
         return unproven;
     }
 
-    private void forgive(final long session, final Strikes past) {
-        if (past != null && ++past.passes >= FORGIVING) {
-            past.passes = 0;
+    private void forgive(final long session, final UnprovenSearches past) {
+        if (past != null && ++past.successes >= CALLS_TO_FORGIVE) {
+            past.successes = 0;
             if (--past.count == 0) {
-                strikes.remove(session);
+                unprovenSearches.remove(session);
             }
         }
     }
 
     /** This session is proven harmful: it is no longer a suspect, and those of its chain are cleared. */
-    void proven(final long session) {
-        final Suspect poisoner = suspects.get(session);
-        if (poisoner != null) {
-            suspects.all().entrySet().removeIf(suspect -> {
-                final boolean freed = suspect.getValue().chain == poisoner.chain;
+    void onProven(final long session) {
+        final Suspect harmful = suspects.get(session);
+        if (harmful != null) {
+            suspects.entries().entrySet().removeIf(suspect -> {
+                final boolean freed = suspect.getValue().chain == harmful.chain;
                 if (freed) {
-                    strikes.remove(suspect.getKey());
+                    unprovenSearches.remove(suspect.getKey());
                 }
                 return freed;
             });
@@ -197,6 +197,6 @@
 
     void forget(final long session) {
         suspects.remove(session);
-        strikes.remove(session);
+        unprovenSearches.remove(session);
     }
 }
--- a/src/main/java/driftchute/fleet/session/Evidence.java
+++ b/src/main/java/driftchute/fleet/session/SessionClassifier.java
@@ -6,11 +6,11 @@
  * Derives a session's class from the couriers' evidence; a function of the merged state only. The figures:
  * docs/session-classes.md.
  */
-final class Evidence {
+final class SessionClassifier {
     /** Failure rate of a healthy session: the base error rate of endpoints. */
-    static final double HEALTHY = 0.01;
+    static final double HEALTHY_FAILURE_RATE = 0.01;
     /** Failure rate of a session that must not share calls. */
-    static final double HARMFUL = 0.10;
+    static final double HARMFUL_FAILURE_RATE = 0.10;
     /** Probability that a harmful session is ever {@code RUN}. It harms only its own messages then. */
     static final double RUN_RISK = 1.0 / 20;
     /** Probability that a harmful session is ever {@code ANY}. */
@@ -21,9 +21,9 @@
      */
     static final int ENOUGH_CALLS = 130;
     /** Log-likelihood that a failed call adds, and that a successful call subtracts (Wald 1945). */
-    private static final double HARM = Math.log(HARMFUL / HEALTHY);
+    private static final double FAILURE_LOG_LIKELIHOOD = Math.log(HARMFUL_FAILURE_RATE / HEALTHY_FAILURE_RATE);
 
-    private static final double GOOD = Math.log((1 - HEALTHY) / (1 - HARMFUL));
+    private static final double SUCCESS_LOG_LIKELIHOOD = Math.log((1 - HEALTHY_FAILURE_RATE) / (1 - HARMFUL_FAILURE_RATE));
     /** A lower bound on the failure rate of merged calls above this demotes the session, from the second failure on. */
     private static final double MAX_MERGED_HARM = 0.05;
 
@@ -42,78 +42,78 @@
 
     private static final int TROUBLE_ONE_IN = 20;
 
-    private Evidence() {}
+    private SessionClassifier() {}
 
     /** The session's class by this evidence, as seen by courier {@code self}. */
     static SessionClass classOf(final SessionState state, final int self) {
         final Counters all = sum(state);
         if (state.epoch() >= SessionState.MAX_EPOCH
-                || harmsMerged(state)
-                || habit(all.retried(), all, TROUBLE_ONE_IN)
-                || habit(all.large(), all, TROUBLE_ONE_IN)) {
+                || harmsMergedCalls(state)
+                || isTypical(all.retriedCalls(), all, TROUBLE_ONE_IN)
+                || isTypical(all.largeCalls(), all, TROUBLE_ONE_IN)) {
             return SessionClass.OWN;
         }
         double factor = 1 << Math.min(state.epoch(), MAX_DOUBLINGS);
         if ((all.effects() & 1 << Effect.UNSAFE.ordinal()) != 0) {
             factor *= 2;
         }
-        if (!reaches(state, self, factor * -Math.log(RUN_RISK))) {
+        if (!reachesThreshold(state, self, factor * -Math.log(RUN_RISK))) {
             return SessionClass.OWN;
         }
         final boolean mixed = Integer.bitCount(all.effects()) > 1;
         return mixed
-                        || habit(all.dependent(), all, DEPENDENT_ONE_IN)
-                        || !reaches(state, self, factor * -Math.log(ANY_RISK))
+                        || isTypical(all.dependentCalls(), all, DEPENDENT_ONE_IN)
+                        || !reachesThreshold(state, self, factor * -Math.log(ANY_RISK))
                 ? SessionClass.RUN
                 : SessionClass.ANY;
     }
 
-    private static boolean habit(final long seen, final Counters all, final int oneIn) {
-        return seen > 0 && seen * oneIn >= all.calls() + all.merged();
+    private static boolean isTypical(final long seen, final Counters all, final int oneIn) {
+        return seen > 0 && seen * oneIn >= all.ownCalls() + all.mergedCalls();
     }
 
     /**
      * The sequential test: whether the log-likelihood ratio of a harmful to a healthy session is at or below the
      * threshold.
      */
-    private static boolean reaches(final SessionState state, final int self, final double bar) {
+    private static boolean reachesThreshold(final SessionState state, final int self, final double threshold) {
         double score = 0;
         for (final var of : state.byCourier().entrySet()) {
             final Counters counters = of.getValue();
-            final long harms = counters.harms() + counters.mergedHarms();
-            final double told = harms * HARM - (counters.calls() + counters.merged() - harms) * GOOD;
-            score += of.getKey() == self ? told : Math.max(told, -MAX_WORD * bar);
+            final long harms = counters.failedCalls() + counters.mergedFailures();
+            final double evidence = harms * FAILURE_LOG_LIKELIHOOD - (counters.ownCalls() + counters.mergedCalls() - harms) * SUCCESS_LOG_LIKELIHOOD;
+            score += of.getKey() == self ? evidence : Math.max(evidence, -MAX_WORD * threshold);
         }
-        return score <= -bar;
+        return score <= -threshold;
     }
 
     /** True if merged calls with it fail too often, although none of its messages was proven to be the cause. */
-    static boolean harmsMerged(final SessionState state) {
+    static boolean harmsMergedCalls(final SessionState state) {
         final Counters all = sum(state);
-        return all.mergedHarms() >= MIN_MERGED_HARMS
-                && Wilson.lower(all.mergedHarms(), all.merged()) > MAX_MERGED_HARM;
+        return all.mergedFailures() >= MIN_MERGED_HARMS
+                && WilsonInterval.lower(all.mergedFailures(), all.mergedCalls()) > MAX_MERGED_HARM;
     }
 
     /** The sum of all couriers' counters. */
     static Counters sum(final SessionState state) {
         long calls = 0;
-        long harms = 0;
+        long failedCalls = 0;
         long merged = 0;
-        long mergedHarms = 0;
+        long mergedFailures = 0;
         long dependent = 0;
         long retried = 0;
         long large = 0;
         int effects = 0;
         for (final Counters one : state.byCourier().values()) {
-            calls = Math.min(Counters.MAX, calls + one.calls());
-            harms = Math.min(Counters.MAX, harms + one.harms());
-            merged = Math.min(Counters.MAX, merged + one.merged());
-            mergedHarms = Math.min(Counters.MAX, mergedHarms + one.mergedHarms());
-            dependent = Math.min(Counters.MAX, dependent + one.dependent());
-            retried = Math.min(Counters.MAX, retried + one.retried());
-            large = Math.min(Counters.MAX, large + one.large());
+            calls = Math.min(Counters.MAX, calls + one.ownCalls());
+            failedCalls = Math.min(Counters.MAX, failedCalls + one.failedCalls());
+            merged = Math.min(Counters.MAX, merged + one.mergedCalls());
+            mergedFailures = Math.min(Counters.MAX, mergedFailures + one.mergedFailures());
+            dependent = Math.min(Counters.MAX, dependent + one.dependentCalls());
+            retried = Math.min(Counters.MAX, retried + one.retriedCalls());
+            large = Math.min(Counters.MAX, large + one.largeCalls());
             effects |= one.effects();
         }
-        return new Counters(0, calls, harms, merged, mergedHarms, dependent, retried, large, effects);
+        return new Counters(0, calls, failedCalls, merged, mergedFailures, dependent, retried, large, effects);
     }
 }
--- a/src/main/java/driftchute/fleet/session/SessionView.java
+++ b/src/main/java/driftchute/fleet/session/SessionView.java
@@ -31,7 +31,7 @@
      *
      * @param sameRun both are of the same run of the same session
      */
-    public boolean mayShare(
+    public boolean canShareCall(
             final SessionClass a,
             final long sessionA,
             final SessionClass b,
--- a/src/main/java/driftchute/fleet/session/Sessions.java
+++ b/src/main/java/driftchute/fleet/session/Sessions.java
@@ -27,49 +27,49 @@
     /** Maximum number of epochs of sessions that are no longer, or not yet, stored. */
     private static final int MAX_FORGOTTEN = 4096;
     /** Minimum number of own calls for a courier's counters to be worth sending. */
-    private static final int WORTH_TELLING = 8;
+    private static final int MIN_CALLS_TO_SEND = 8;
     /** Maximum number of sessions examined for one datagram; some may have expired meanwhile. */
     private static final int MAX_LOOKED_AT = 64;
     /**
      * A message that arrives this soon after the previous one's end, us, so many times in a row, depends on it: a local
      * round trip.
      */
-    private static final long RIGHT_AFTER_US = 5_000;
+    private static final long DEPENDENT_WITHIN_US = 5_000;
 
     private static final int DEPENDENT_RUN = 4;
     /**
      * Size of a large body: three quarters of the largest (PROTOCOL: 64 KiB). Two of these make a call that is
      * expensive to repeat.
      */
-    private static final int LARGE_BYTES = 48 * 1024;
+    private static final int LARGE_BODY_BYTES = 48 * 1024;
 
     private static final long TICK_US = 1_000_000;
 
-    private static final class Held {
+    private static final class SessionEntry {
         final SessionState state;
-        SessionClass earned = SessionClass.OWN;
+        SessionClass earnedClass = SessionClass.OWN;
         long evidenceUs;
-        long calledUs;
+        long lastCallUs;
         long lastEndUs = Long.MAX_VALUE;
-        int inTurn;
+        int dependentInRow;
 
-        Held(final int epoch) {
+        SessionEntry(final int epoch) {
             state = new SessionState(epoch);
         }
     }
 
     private final Tier tier;
-    private final long life;
+    private final long processGeneration;
     private final long staleUs;
     private final EventLog events;
-    private final Latest<Integer> forgotten = new Latest<>(MAX_FORGOTTEN);
-    private final Latest<Held> sessions = new Latest<>(MAX_SESSIONS, this::gone);
-    private final TreeMap<Long, Held> telling = new TreeMap<>();
+    private final LruMap<Integer> evictedEpochs = new LruMap<>(MAX_FORGOTTEN);
+    private final LruMap<SessionEntry> sessions = new LruMap<>(MAX_SESSIONS, this::onEvicted);
+    private final TreeMap<Long, SessionEntry> toSend = new TreeMap<>();
     private final Map<Integer, Long> cursors = new HashMap<>();
     private final Baseline baseline;
-    private final Splitter splitter;
-    private final Rumours rumours;
-    private long freshUntilUs = Long.MIN_VALUE;
+    private final GroupTesting groupTesting;
+    private final DemotionGossip gossip;
+    private long validUntilUs = Long.MIN_VALUE;
 
     /**
      * Starts without evidence: every session is {@code OWN}.
@@ -78,14 +78,14 @@
      * @param staleUs age at which evidence expires, us
      * @param seed for the search among suspects
      */
-    public Sessions(final Tier tier, final long life, final long staleUs, final long seed, final EventLog events) {
+    public Sessions(final Tier tier, final long processGeneration, final long staleUs, final long seed, final EventLog events) {
         this.tier = tier;
-        this.life = life;
+        this.processGeneration = processGeneration;
         this.staleUs = staleUs;
         this.events = events;
         baseline = new Baseline(staleUs);
-        splitter = new Splitter(seed);
-        rumours = new Rumours(tier.self(), tier.size());
+        groupTesting = new GroupTesting(seed);
+        gossip = new DemotionGossip(tier.self(), tier.size());
     }
 
     // ---------------------------------------------------------------- classes
@@ -94,57 +94,57 @@
      * This courier hears from a majority of the tier, itself included. Classes are valid for {@code staleUs} from the
      * last call.
      */
-    public void heardMajority(final ClockReading now) {
-        freshUntilUs = now.monoUs() + staleUs;
+    public void onMajorityHeard(final ClockReading now) {
+        validUntilUs = now.monoUs() + staleUs;
     }
 
     /** A session's class as this courier knows it. */
     public SessionClass classOf(final long session, final ClockReading now) {
-        final Held held = sessions.get(session);
-        return held == null || now.monoUs() >= freshUntilUs || !fresh(held, now) ? SessionClass.OWN : held.earned;
+        final SessionEntry entry = sessions.get(session);
+        return entry == null || now.monoUs() >= validUntilUs || !fresh(entry, now) ? SessionClass.OWN : entry.earnedClass;
     }
 
-    private boolean fresh(final Held held, final ClockReading now) {
-        return now.monoUs() - held.evidenceUs < staleUs;
+    private boolean fresh(final SessionEntry entry, final ClockReading now) {
+        return now.monoUs() - entry.evidenceUs < staleUs;
     }
 
     /** All sessions that may share calls, for the traffic. Iterates over all sessions. */
     public SessionView view(final ClockReading now) {
         final Map<Long, SessionClass> classes = new HashMap<>();
-        sessions.all().forEach((session, held) -> {
-            if (held.earned != SessionClass.OWN && fresh(held, now)) {
-                classes.put(session, held.earned);
+        sessions.entries().forEach((session, entry) -> {
+            if (entry.earnedClass != SessionClass.OWN && fresh(entry, now)) {
+                classes.put(session, entry.earnedClass);
             }
         });
-        return new SessionView(classes, splitter.groups(), freshUntilUs);
+        return new SessionView(classes, groupTesting.groups(), validUntilUs);
     }
 
     /** A session's class and the reasons for it, in one line for the operators. */
     public String describe(final long session, final ClockReading now) {
-        final Held held = sessions.get(session);
-        if (held == null) {
+        final SessionEntry entry = sessions.get(session);
+        if (entry == null) {
             return String.format("session %016x: own, not held; epoch %d", session, epochOf(session));
         }
-        final Counters all = Evidence.sum(held.state);
+        final Counters all = SessionClassifier.sum(entry.state);
         return String.format(
                 Locale.ROOT,
                 "session %016x: %s (earned %s), epoch %d, %d of %d calls failed (under %.3f), "
                         + "%d of %d merged (over %.3f), dependent %d, retried %d, large %d, effects %d, group %d",
                 session,
                 name(classOf(session, now)),
-                name(held.earned),
-                held.state.epoch(),
-                all.harms(),
-                all.calls(),
-                Wilson.upper(all.harms(), all.calls()),
-                all.mergedHarms(),
-                all.merged(),
-                Wilson.lower(all.mergedHarms(), all.merged()),
-                all.dependent(),
-                all.retried(),
-                all.large(),
+                name(entry.earnedClass),
+                entry.state.epoch(),
+                all.failedCalls(),
+                all.ownCalls(),
+                WilsonInterval.upper(all.failedCalls(), all.ownCalls()),
+                all.mergedFailures(),
+                all.mergedCalls(),
+                WilsonInterval.lower(all.mergedFailures(), all.mergedCalls()),
+                all.dependentCalls(),
+                all.retriedCalls(),
+                all.largeCalls(),
                 all.effects(),
-                splitter.groupOf(session));
+                groupTesting.groupOf(session));
     }
 
     private static String name(final SessionClass one) {
@@ -156,120 +156,120 @@
     /** Records the end of a call. */
     public void observe(final ClockReading now, final CallOutcome call, final Outbox out) {
         for (final CallOutcome.Share share : call.shares()) {
-            habits(now, share);
+            recordProperties(now, share);
         }
-        if (call.ended().counted) {
-            if (call.ended().harm) {
-                failed(now, call, out);
+        if (call.result().informative) {
+            if (call.result().failed) {
+                onFailed(now, call, out);
             } else {
-                passed(now, call, out);
+                onSucceeded(now, call, out);
             }
         }
-        call.sessions().stream().map(sessions::get).forEach(this::judge);
+        call.sessions().stream().map(sessions::get).forEach(this::updateClass);
     }
 
-    private void judge(final Held held) {
-        held.earned = Evidence.classOf(held.state, tier.self());
+    private void updateClass(final SessionEntry entry) {
+        entry.earnedClass = SessionClassifier.classOf(entry.state, tier.self());
     }
 
-    private void habits(final ClockReading now, final CallOutcome.Share share) {
-        final Held held = sessions.use(share.session(), this::fresh);
-        held.calledUs = now.monoUs();
-        held.evidenceUs = now.monoUs();
-        final long sinceEndUs = share.handedInUs() - held.lastEndUs;
-        final boolean after = held.lastEndUs != Long.MAX_VALUE && sinceEndUs >= 0 && sinceEndUs <= RIGHT_AFTER_US;
-        held.inTurn = after && share.messages() == 1 ? held.inTurn + 1 : 0;
-        held.lastEndUs = now.monoUs();
+    private void recordProperties(final ClockReading now, final CallOutcome.Share share) {
+        final SessionEntry entry = sessions.use(share.session(), this::fresh);
+        entry.lastCallUs = now.monoUs();
+        entry.evidenceUs = now.monoUs();
+        final long sinceEndUs = share.acceptedUs() - entry.lastEndUs;
+        final boolean after = entry.lastEndUs != Long.MAX_VALUE && sinceEndUs >= 0 && sinceEndUs <= DEPENDENT_WITHIN_US;
+        entry.dependentInRow = after && share.messages() == 1 ? entry.dependentInRow + 1 : 0;
+        entry.lastEndUs = now.monoUs();
         int dependent = 0;
-        if (held.inTurn >= DEPENDENT_RUN) {
-            dependent = held.inTurn == DEPENDENT_RUN ? DEPENDENT_RUN : 1;
+        if (entry.dependentInRow >= DEPENDENT_RUN) {
+            dependent = entry.dependentInRow == DEPENDENT_RUN ? DEPENDENT_RUN : 1;
         }
-        saw(
+        record(
                 share.session(),
-                held,
-                own(held)
-                        .plusHabits(
+                entry,
+                ownCounters(entry)
+                        .plusProperties(
                                 dependent,
                                 share.retried() > 0,
-                                share.largestBody() >= LARGE_BYTES,
+                                share.largestBodyBytes() >= LARGE_BODY_BYTES,
                                 1 << share.effect().ordinal()));
     }
 
-    private Held fresh(final long session) {
-        final Integer epoch = forgotten.remove(session);
-        return new Held(epoch == null ? 0 : epoch);
+    private SessionEntry fresh(final long session) {
+        final Integer epoch = evictedEpochs.remove(session);
+        return new SessionEntry(epoch == null ? 0 : epoch);
     }
 
-    private void gone(final long session, final Held held) {
-        if (held.state.epoch() > 0) {
-            forgotten.put(session, held.state.epoch());
+    private void onEvicted(final long session, final SessionEntry entry) {
+        if (entry.state.epoch() > 0) {
+            evictedEpochs.put(session, entry.state.epoch());
         }
-        telling.remove(session);
-        splitter.forget(session);
+        toSend.remove(session);
+        groupTesting.forget(session);
     }
 
-    private Counters own(final Held held) {
-        return held.state.byCourier().getOrDefault(tier.self(), Counters.none(life));
+    private Counters ownCounters(final SessionEntry entry) {
+        return entry.state.byCourier().getOrDefault(tier.self(), Counters.none(processGeneration));
     }
 
-    private void saw(final long session, final Held held, final Counters counters) {
-        held.state.join(held.state.epoch(), tier.self(), counters);
-        if (counters.calls() + counters.merged() >= WORTH_TELLING) {
-            telling.put(session, held);
+    private void record(final long session, final SessionEntry entry, final Counters counters) {
+        entry.state.join(entry.state.epoch(), tier.self(), counters);
+        if (counters.ownCalls() + counters.mergedCalls() >= MIN_CALLS_TO_SEND) {
+            toSend.put(session, entry);
         }
     }
 
-    private void passed(final ClockReading now, final CallOutcome call, final Outbox out) {
+    private void onSucceeded(final ClockReading now, final CallOutcome call, final Outbox out) {
         final List<Long> all = call.sessions();
-        if (baseline.others(call.destination(), all, now.monoUs()) != Baseline.Standing.ILL) {
+        if (baseline.healthForOthers(call.destination(), all, now.monoUs()) != Baseline.Health.UNHEALTHY) {
             for (final long session : all) {
-                final Held held = sessions.get(session);
-                saw(
+                final SessionEntry entry = sessions.get(session);
+                record(
                         session,
-                        held,
-                        all.size() > 1 ? own(held).plusMerged(false) : own(held).plusCall(false));
+                        entry,
+                        all.size() > 1 ? ownCounters(entry).plusMerged(false) : ownCounters(entry).plusCall(false));
             }
         }
-        all.forEach(session -> baseline.ended(call.destination(), session, true, now.monoUs()));
-        for (final long session : splitter.passed(all)) {
-            final Held held = sessions.get(session);
-            saw(session, held, own(held).plusMerged(true));
-            if (Evidence.harmsMerged(held.state)) {
-                demote(now, session, held, "merged", out);
+        all.forEach(session -> baseline.onCallEnded(call.destination(), session, true, now.monoUs()));
+        for (final long session : groupTesting.onSucceeded(all)) {
+            final SessionEntry entry = sessions.get(session);
+            record(session, entry, ownCounters(entry).plusMerged(true));
+            if (SessionClassifier.harmsMergedCalls(entry.state)) {
+                demote(now, session, entry, "merged", out);
             }
         }
     }
 
-    private void failed(final ClockReading now, final CallOutcome call, final Outbox out) {
+    private void onFailed(final ClockReading now, final CallOutcome call, final Outbox out) {
         final List<Long> all = call.sessions();
-        final Baseline.Standing standing = baseline.others(call.destination(), all, now.monoUs());
+        final Baseline.Health health = baseline.healthForOthers(call.destination(), all, now.monoUs());
         if (all.size() == 1) {
-            baseline.ended(call.destination(), all.get(0), false, now.monoUs());
+            baseline.onCallEnded(call.destination(), all.get(0), false, now.monoUs());
         }
-        if (standing == Baseline.Standing.ILL) {
+        if (health == Baseline.Health.UNHEALTHY) {
             return;
         }
         if (all.size() > 1) {
             // A session that was demoted while the call was in flight explains its failure.
             if (all.stream()
                     .map(sessions::get)
-                    .noneMatch(held -> held.state.epoch() > 0 && held.earned == SessionClass.OWN)) {
-                splitter.failed(all);
+                    .noneMatch(entry -> entry.state.epoch() > 0 && entry.earnedClass == SessionClass.OWN)) {
+                groupTesting.onFailed(all);
             }
             return;
         }
         final long session = all.get(0);
-        final Held held = sessions.get(session);
-        final boolean shares = held.earned != SessionClass.OWN || splitter.groupOf(session) != 0;
-        saw(session, held, own(held).plusCall(true));
-        if (shares && splitter.failedAlone(session) && standing == Baseline.Standing.WELL) {
-            demote(now, session, held, "alone", out);
+        final SessionEntry entry = sessions.get(session);
+        final boolean shares = entry.earnedClass != SessionClass.OWN || groupTesting.groupOf(session) != 0;
+        record(session, entry, ownCounters(entry).plusCall(true));
+        if (shares && groupTesting.onFailedAlone(session) && health == Baseline.Health.HEALTHY) {
+            demote(now, session, entry, "alone", out);
         }
     }
 
-    private void demote(final ClockReading now, final long session, final Held held, final String why, final Outbox out) {
-        final int epoch = Math.min(SessionState.MAX_EPOCH, held.state.epoch() + 1);
-        final Counters all = Evidence.sum(held.state);
+    private void demote(final ClockReading now, final long session, final SessionEntry entry, final String why, final Outbox out) {
+        final int epoch = Math.min(SessionState.MAX_EPOCH, entry.state.epoch() + 1);
+        final Counters all = SessionClassifier.sum(entry.state);
         events.event(
                 "session-demoted",
                 "session",
@@ -279,23 +279,23 @@
                 "why",
                 why,
                 "calls",
-                all.calls(),
+                all.ownCalls(),
                 "harms",
-                all.harms(),
+                all.failedCalls(),
                 "merged",
-                all.merged(),
+                all.mergedCalls(),
                 "merged_harms",
-                all.mergedHarms());
-        raise(session, held, epoch);
-        rumours.start(now, session, epoch);
-        rumours.send(now, out);
+                all.mergedFailures());
+        raiseEpoch(session, entry, epoch);
+        gossip.start(now, session, epoch);
+        gossip.sendDue(now, out);
     }
 
-    private void raise(final long session, final Held held, final int epoch) {
-        held.state.raise(epoch);
-        held.earned = SessionClass.OWN;
-        telling.remove(session);
-        splitter.proven(session);
+    private void raiseEpoch(final long session, final SessionEntry entry, final int epoch) {
+        entry.state.raise(epoch);
+        entry.earnedClass = SessionClass.OWN;
+        toSend.remove(session);
+        groupTesting.onProven(session);
     }
 
     // ---------------------------------------------------------------- messages between couriers
@@ -303,12 +303,12 @@
     @Override
     public Map<Integer, Message.Reader> readers() {
         return Map.of(
-                Demotion.TELL,
-                body -> Demotion.read(false, body),
-                Demotion.HEARD,
-                body -> Demotion.read(true, body),
-                Counts.TYPE,
-                Counts::read);
+                DemotionMessage.DEMOTED,
+                body -> DemotionMessage.read(false, body),
+                DemotionMessage.ACKNOWLEDGED,
+                body -> DemotionMessage.read(true, body),
+                CountersMessage.TYPE,
+                CountersMessage::read);
     }
 
     @Override
@@ -316,93 +316,93 @@
         if (from < 0 || from >= tier.size() || from == tier.self()) {
             return;
         }
-        if (message instanceof Demotion demotion) {
-            final boolean news = learn(demotion.session(), demotion.epoch());
-            rumours.known(from, demotion.session(), demotion.epoch());
+        if (message instanceof DemotionMessage demotion) {
+            final boolean news = learnEpoch(demotion.session(), demotion.epoch());
+            gossip.onConfirmed(from, demotion.session(), demotion.epoch());
             if (news) {
-                rumours.pass(now, from, demotion.session(), demotion.epoch());
+                gossip.onReceived(now, from, demotion.session(), demotion.epoch());
             }
-            if (!demotion.heard()) {
-                out.send(from, new Demotion(true, demotion.session(), epochOf(demotion.session())));
+            if (!demotion.isAnswer()) {
+                out.send(from, new DemotionMessage(true, demotion.session(), epochOf(demotion.session())));
             }
-        } else if (message instanceof Counts counts) {
+        } else if (message instanceof CountersMessage counts) {
             counts.rows().forEach(row -> receive(now, from, row, out));
         }
     }
 
-    private void receive(final ClockReading now, final int from, final Counts.Row row, final Outbox out) {
-        learn(row.session(), row.epoch());
-        rumours.known(from, row.session(), row.epoch());
+    private void receive(final ClockReading now, final int from, final CountersMessage.Row row, final Outbox out) {
+        learnEpoch(row.session(), row.epoch());
+        gossip.onConfirmed(from, row.session(), row.epoch());
         final int epoch = epochOf(row.session());
-        final Held held = sessions.get(row.session());
+        final SessionEntry entry = sessions.get(row.session());
         if (row.epoch() < epoch) {
-            out.send(from, new Demotion(false, row.session(), epoch));
-        } else if (held != null) {
-            held.state.join(row.epoch(), from, row.counters());
-            judge(held);
-            held.evidenceUs = now.monoUs();
+            out.send(from, new DemotionMessage(false, row.session(), epoch));
+        } else if (entry != null) {
+            entry.state.join(row.epoch(), from, row.counters());
+            updateClass(entry);
+            entry.evidenceUs = now.monoUs();
         }
     }
 
     /** Number of stored sessions. */
     int size() {
-        return sessions.all().size();
+        return sessions.entries().size();
     }
 
     /** The known epoch of a session, stored or not. */
     int epochOf(final long session) {
-        final Held held = sessions.get(session);
-        final Integer old = forgotten.get(session);
-        if (held != null) {
-            return held.state.epoch();
+        final SessionEntry entry = sessions.get(session);
+        final Integer old = evictedEpochs.get(session);
+        if (entry != null) {
+            return entry.state.epoch();
         }
         return old == null ? 0 : old;
     }
 
     /** True if this epoch is news of a stored session. */
-    private boolean learn(final long session, final int epoch) {
+    private boolean learnEpoch(final long session, final int epoch) {
         if (epoch <= epochOf(session)) {
             return false;
         }
-        final Held held = sessions.get(session);
-        if (held == null) {
-            forgotten.put(session, epoch);
+        final SessionEntry entry = sessions.get(session);
+        if (entry == null) {
+            evictedEpochs.put(session, epoch);
             return false;
         }
         events.event("session-demotion-heard", "session", Long.toHexString(session), "epoch", epoch);
-        raise(session, held, epoch);
+        raiseEpoch(session, entry, epoch);
         return true;
     }
 
     @Override
     public long tick(final ClockReading now, final Outbox out) {
-        return Math.max(now.monoUs() + 1, Math.min(now.monoUs() + TICK_US, rumours.send(now, out)));
+        return Math.max(now.monoUs() + 1, Math.min(now.monoUs() + TICK_US, gossip.sendDue(now, out)));
     }
 
     @Override
     public List<Message> gossip(final ClockReading now, final int peer, final int room) {
-        final List<Message> riding = new ArrayList<>(rumours.ride(peer, room));
+        final List<Message> riding = new ArrayList<>(gossip.gossip(peer, room));
         int left = room
                 - riding.stream()
-                        .mapToInt(message -> message.size() + Rumours.PREFIX)
+                        .mapToInt(message -> message.size() + DemotionGossip.PREFIX_BYTES)
                         .sum();
-        left = Counts.room(life, left);
-        final List<Counts.Row> rows = new ArrayList<>();
+        left = CountersMessage.room(processGeneration, left);
+        final List<CountersMessage.Row> rows = new ArrayList<>();
         final long from = cursors.getOrDefault(peer, Long.MIN_VALUE);
-        final List<Map.Entry<Long, Held>> window = new ArrayList<>();
-        for (final Map<Long, Held> part : List.of(telling.tailMap(from, false), telling.headMap(from, true))) {
-            for (final Iterator<Map.Entry<Long, Held>> it = part.entrySet().iterator();
+        final List<Map.Entry<Long, SessionEntry>> window = new ArrayList<>();
+        for (final Map<Long, SessionEntry> part : List.of(toSend.tailMap(from, false), toSend.headMap(from, true))) {
+            for (final Iterator<Map.Entry<Long, SessionEntry>> it = part.entrySet().iterator();
                     it.hasNext() && window.size() < MAX_LOOKED_AT; ) {
                 window.add(it.next());
             }
         }
-        for (final Map.Entry<Long, Held> one : window) {
-            final Held held = one.getValue();
-            if (now.monoUs() - held.calledUs >= staleUs) {
-                telling.remove(one.getKey());
+        for (final Map.Entry<Long, SessionEntry> one : window) {
+            final SessionEntry entry = one.getValue();
+            if (now.monoUs() - entry.lastCallUs >= staleUs) {
+                toSend.remove(one.getKey());
                 continue;
             }
-            final Counts.Row row = new Counts.Row(one.getKey(), held.state.epoch(), own(held));
+            final CountersMessage.Row row = new CountersMessage.Row(one.getKey(), entry.state.epoch(), ownCounters(entry));
             if (row.size() > left) {
                 break;
             }
@@ -411,7 +411,7 @@
             cursors.put(peer, one.getKey());
         }
         if (!rows.isEmpty()) {
-            riding.add(new Counts(life, rows));
+            riding.add(new CountersMessage(processGeneration, rows));
         }
         return riding;
     }
--- a/src/main/java/driftchute/fleet/session/Wilson.java
+++ b/src/main/java/driftchute/fleet/session/WilsonInterval.java
@@ -1,11 +1,11 @@
 package driftchute.fleet.session;
 
 /** One-sided 95% bounds on a rate from observed counts (Wilson 1927; Brown, Cai, DasGupta 2001). */
-final class Wilson {
+final class WilsonInterval {
     /** The 0.95 quantile of the normal distribution. */
     private static final double Z = 1.6448536269514722;
 
-    private Wilson() {}
+    private WilsonInterval() {}
 
     /** Upper bound of the rate; 1 without observations. */
     static double upper(final long hits, final long of) {
