--- a/src/main/java/driftchute/Courier.java
+++ b/src/main/java/driftchute/Courier.java
@@ -102,7 +102,12 @@
      * destination and its warm-up time, the multiple of its capacity that overloads a destination, and how long a key
      * rests after an attempt without an answer.
      */
-    record Guarantees(long listRequestDueUs, double coldCapacityShare, long warmUpUs, double overloadMultiple, long orderRestUs) {}
+    record Guarantees(
+            long listRequestDueUs,
+            double coldCapacityShare,
+            long warmUpUs,
+            double overloadMultiple,
+            long orderRestUs) {}
 
     /** The resources this courier may use. */
     record Limits(
@@ -134,11 +139,17 @@
         public Settings {
             require(couriers >= 1, "a fleet has at least one courier, not " + couriers);
             require(limits.slots() >= 1, "a courier needs at least one slot, not " + limits.slots());
-            require(limits.maxOpenMessages() >= 1, "a store holds at least one message, not " + limits.maxOpenMessages());
+            require(
+                    limits.maxOpenMessages() >= 1,
+                    "a store holds at least one message, not " + limits.maxOpenMessages());
             require(limits.maxAttempts() >= 1, "a message needs at least one attempt, not " + limits.maxAttempts());
-            require(guarantees.overloadMultiple() > 0, "the overload multiple must be above 0, not " + guarantees.overloadMultiple());
+            require(
+                    guarantees.overloadMultiple() > 0,
+                    "the overload multiple must be above 0, not " + guarantees.overloadMultiple());
             for (final MessageClass messageClass : classes) {
-                require(messageClass.targetUs() <= messageClass.deadlineUs(), messageClass.name() + ": its target time is later than its deadline");
+                require(
+                        messageClass.targetUs() <= messageClass.deadlineUs(),
+                        messageClass.name() + ": its target time is later than its deadline");
             }
         }
 
--- a/src/main/java/driftchute/DeliveryPolicy.java
+++ b/src/main/java/driftchute/DeliveryPolicy.java
@@ -220,7 +220,8 @@
     @Override
     public void onMessage(final long now, final Message message) {
         nowUs = now;
-        final PendingMessage pending = new PendingMessage(message, settings.classes().get(message.messageClass()));
+        final PendingMessage pending =
+                new PendingMessage(message, settings.classes().get(message.messageClass()));
         pendingMessages.put(message.id(), pending);
         openMessages++;
         pending.overQuota = isOverQuota(message.tenant());
@@ -383,7 +384,8 @@
         Arrays.fill(endpoint.failureRun, 0);
         Arrays.fill(endpoint.avoidUntilUs, 0);
         final Route route = endpoint.route;
-        final boolean onlyEndpoint = route.endpoints.stream().noneMatch(other -> other != endpoint && other.isAvailable());
+        final boolean onlyEndpoint =
+                route.endpoints.stream().noneMatch(other -> other != endpoint && other.isAvailable());
         if (route.circuit == CircuitState.CLOSED && onlyEndpoint) {
             route.circuit = CircuitState.SLOW_START;
             route.slowStartSinceUs = nowUs;
@@ -411,7 +413,8 @@
         route.tierHealth = verdict == null ? TierHealth.HEALTHY : verdict.health();
         if (route.tierHealth == TierHealth.DOWN && before != TierHealth.DOWN && route.circuit != CircuitState.OPEN) {
             route.nextProbeUs = nextProbeUs(route);
-        } else if (route.tierHealth == TierHealth.RECOVERED && Math.max(route.lastFailureUs, route.slowStartSinceUs) < verdict.sinceUs()) {
+        } else if (route.tierHealth == TierHealth.RECOVERED
+                && Math.max(route.lastFailureUs, route.slowStartSinceUs) < verdict.sinceUs()) {
             beginSlowStart(route, verdict.sinceUs());
         }
     }
@@ -439,7 +442,9 @@
         final List<DestinationReport> all = new ArrayList<>();
         destinations.forEach((id, destination) -> destination.routes.stream()
                 .filter(route -> !route.kind.separateRoutes()
-                        && (destination.messageCount > 0 || route.circuit != CircuitState.CLOSED || now - route.lastSendUs < FORGET_AFTER_US))
+                        && (destination.messageCount > 0
+                                || route.circuit != CircuitState.CLOSED
+                                || now - route.lastSendUs < FORGET_AFTER_US))
                 .forEach(route -> all.add(new DestinationReport(
                         id,
                         knownLimit(route),
@@ -485,7 +490,8 @@
      * unconfirmed list.
      */
     private void dispatch() {
-        while (!listUnconfirmed && callsInFlight + predecessorCalls < settings.limits().slots()) {
+        while (!listUnconfirmed
+                && callsInFlight + predecessorCalls < settings.limits().slots()) {
             final PendingMessage best = mostUrgent(true);
             if (best == null) {
                 return;
@@ -502,7 +508,8 @@
         PendingMessage best = null;
         for (final Destination destination : activeDestinations.values()) {
             for (final Route route : destination.routes) {
-                final boolean open = sendableAtUs(route) <= nowUs && (probes || effectiveCircuit(route) == CircuitState.CLOSED);
+                final boolean open =
+                        sendableAtUs(route) <= nowUs && (probes || effectiveCircuit(route) == CircuitState.CLOSED);
                 final PendingMessage pending = open ? mostUrgentFor(destination, route, null) : null;
                 best = pending != null && (best == null || pending.urgency > best.urgency) ? pending : best;
             }
@@ -530,7 +537,9 @@
                     case OPEN -> inFlight == 0 ? probeAllowedAtUs(route) : NEVER;
                     case SLOW_START ->
                         route.lastSendUs
-                                + (long) (route.slowStartIntervalUs * route.lastCallLoad / overloadShare(nowUs - route.slowStartSinceUs));
+                                + (long) (route.slowStartIntervalUs
+                                        * route.lastCallLoad
+                                        / overloadShare(nowUs - route.slowStartSinceUs));
                 };
         return Math.max(Math.max(pacedAtUs, leasedAtUs), Math.max(route.waitUntilUs, route.pauseUntilUs));
     }
@@ -540,7 +549,8 @@
      * schedule.
      */
     private long probeAllowedAtUs(final Route route) {
-        final long untilUs = hasVerdict(route, TierHealth.DOWN) ? currentVerdict(route).probeUntilUs() : NEVER;
+        final long untilUs =
+                hasVerdict(route, TierHealth.DOWN) ? currentVerdict(route).probeUntilUs() : NEVER;
         return untilUs == NEVER ? route.nextProbeUs : untilUs > Math.max(nowUs, route.usedPermitUs) ? nowUs : NEVER;
     }
 
@@ -554,7 +564,9 @@
             final RateLease lease =
                     route.kind.separateRoutes() ? null : fleetView.rateLeases().get(route.destinationId);
             final double evenPart = fleetView.reservedShare() * knownLimit(route) / settings.couriers();
-            return lease == null || nowUs >= lease.expiresAtUs() ? evenPart : Math.min(lease.callsPerSecond(), knownLimit(route));
+            return lease == null || nowUs >= lease.expiresAtUs()
+                    ? evenPart
+                    : Math.min(lease.callsPerSecond(), knownLimit(route));
         }
         if (route.reportedLimit > 0) {
             return Math.max(
@@ -564,12 +576,16 @@
                                     * route.unusedShare
                                     * route.reportedLimit);
         }
-        return settings.limitHint() == LimitHint.EXACT && route.limitPerSecond > 0 ? route.limitPerSecond : Double.POSITIVE_INFINITY;
+        return settings.limitHint() == LimitHint.EXACT && route.limitPerSecond > 0
+                ? route.limitPerSecond
+                : Double.POSITIVE_INFINITY;
     }
 
     /** The known limit of a route, from answers or an exact weight, calls per second; 0 if none. */
     private double knownLimit(final Route route) {
-        return route.reportedLimit > 0 || settings.limitHint() != LimitHint.EXACT ? route.reportedLimit : route.limitPerSecond;
+        return route.reportedLimit > 0 || settings.limitHint() != LimitHint.EXACT
+                ? route.reportedLimit
+                : route.limitPerSecond;
     }
 
     /**
@@ -579,13 +595,16 @@
      * calls would never find out.
      */
     private int maxCallsInFlight(final Route route) {
-        final double window =
-                isSuspect(route) ? MIN_WINDOW_CALLS : hasVerdict(route, TierHealth.SUSPECTED) ? route.window / 2 : route.window;
+        final double window = isSuspect(route)
+                ? MIN_WINDOW_CALLS
+                : hasVerdict(route, TierHealth.SUSPECTED) ? route.window / 2 : route.window;
         return (int) Math.max(1, Math.floor(Math.min(window, maxSlots(route))));
     }
 
     private int maxSlots(final Route route) {
-        final double share = effectiveCircuit(route) == CircuitState.CLOSED && !route.unhealthy ? HEALTHY_SLOT_SHARE : UNHEALTHY_SLOT_SHARE;
+        final double share = effectiveCircuit(route) == CircuitState.CLOSED && !route.unhealthy
+                ? HEALTHY_SLOT_SHARE
+                : UNHEALTHY_SLOT_SHARE;
         return (int) Math.max(1, Math.floor(share * settings.limits().slots()));
     }
 
@@ -616,7 +635,8 @@
                 pending.route = route;
                 // If the store is over half full, some messages will not be served: slots go where they serve the most
                 // messages.
-                pending.urgency = urgency / (2 * openMessages > settings.limits().maxOpenMessages() ? expectedUs(route, pending) : 1);
+                pending.urgency = urgency
+                        / (2 * openMessages > settings.limits().maxOpenMessages() ? expectedUs(route, pending) : 1);
             }
         }
         return best;
@@ -640,8 +660,13 @@
         final long lateUs = Math.max(0, atUs - pending.targetUs);
         return full
                 * (settings.valueDecay() == ValueDecay.HALVING
-                        ? Math.max(messageClass.lateValue(), Math.pow(0.5, (double) lateUs / Math.max(1, messageClass.targetUs())))
-                        : 1 - (1 - messageClass.lateValue()) * lateUs / Math.max(1, messageClass.deadlineUs() - messageClass.targetUs()));
+                        ? Math.max(
+                                messageClass.lateValue(),
+                                Math.pow(0.5, (double) lateUs / Math.max(1, messageClass.targetUs())))
+                        : 1
+                                - (1 - messageClass.lateValue())
+                                        * lateUs
+                                        / Math.max(1, messageClass.deadlineUs() - messageClass.targetUs()));
     }
 
     /** The best endpoint of a route for a message now, or null. */
@@ -660,10 +685,14 @@
                     || endpoint.inFlight == 0
                             && nowUs - endpoint.lastUseUs >= settings.limits().idleTimeoutUs();
             final boolean crossesZone = !endpoint.listed.zone().equals(settings.zone());
-            final double endpointLoad =
-                    endpoint.inFlight + endpoint.failureRun[classIndex] + (handshake ? HANDSHAKE_LOAD : 0) + (crossesZone ? CROSS_ZONE_LOAD : 0);
+            final double endpointLoad = endpoint.inFlight
+                    + endpoint.failureRun[classIndex]
+                    + (handshake ? HANDSHAKE_LOAD : 0)
+                    + (crossesZone ? CROSS_ZONE_LOAD : 0);
             // An endpoint that was enabled again is cold: a call weighs the more there, the less capacity it has.
-            final double load = effectiveCircuit(route) == CircuitState.OPEN ? endpoint.lastSendUs : (1 + endpointLoad) / capacityShare(nowUs - endpoint.enabledUs);
+            final double load = effectiveCircuit(route) == CircuitState.OPEN
+                    ? endpoint.lastSendUs
+                    : (1 + endpointLoad) / capacityShare(nowUs - endpoint.enabledUs);
             if (best == null || load < bestLoad) {
                 best = endpoint;
                 bestLoad = load;
@@ -680,7 +709,9 @@
         return zoneAllows(pending, call.endpoint)
                 && call.unsafe == (pending.messageClass.effect() == Effect.UNSAFE)
                 && Math.min(call.validUntilUs, pending.message.validUntilUs())
-                        >= nowUs + cutOffFactor(pending) * Math.max(call.expectedUs, expectedUs(call.endpoint.route, pending));
+                        >= nowUs
+                                + cutOffFactor(pending)
+                                        * Math.max(call.expectedUs, expectedUs(call.endpoint.route, pending));
     }
 
     /** Multiple of the expected duration that must be left for a call that will be cut off at a known time. */
@@ -690,7 +721,9 @@
 
     /** False if an earlier attempt may have taken effect and this endpoint would not recognise the repeat. */
     private static boolean zoneAllows(final PendingMessage pending, final EndpointState endpoint) {
-        return !pending.mayHaveExecuted || !pending.messageClass.zoneKeyed() || endpoint.listed.zone().equals(pending.executionZone);
+        return !pending.mayHaveExecuted
+                || !pending.messageClass.zoneKeyed()
+                || endpoint.listed.zone().equals(pending.executionZone);
     }
 
     /**
@@ -698,7 +731,9 @@
      * an answer.
      */
     private boolean isNextOfKey(final PendingMessage pending) {
-        return pending.keyQueue == null || pending.keyQueue.messages.get(0) == pending && (pending.mayHaveExecuted || pending.keyQueue.restsUntilUs <= nowUs);
+        return pending.keyQueue == null
+                || pending.keyQueue.messages.get(0) == pending
+                        && (pending.mayHaveExecuted || pending.keyQueue.restsUntilUs <= nowUs);
     }
 
     /** False for a call that the end of this process would probably cut off. The next process may send it. */
@@ -724,12 +759,14 @@
         endpoint.inFlight++;
         final int callsPerConnection = settings.limits().callsPerConnection();
         call.reusesConnection = endpoint.connections * callsPerConnection >= endpoint.inFlight;
-        endpoint.connections = Math.max(endpoint.connections, (endpoint.inFlight + callsPerConnection - 1) / callsPerConnection);
+        endpoint.connections =
+                Math.max(endpoint.connections, (endpoint.inFlight + callsPerConnection - 1) / callsPerConnection);
         endpoint.lastSendUs = route.lastSendUs = nowUs;
         final boolean isProbe = effectiveCircuit(route) == CircuitState.OPEN;
         if (isProbe) {
             route.nextProbeUs = nextProbeUs(route);
-            route.usedPermitUs = hasVerdict(route, TierHealth.DOWN) ? currentVerdict(route).probeUntilUs() : 0;
+            route.usedPermitUs =
+                    hasVerdict(route, TierHealth.DOWN) ? currentVerdict(route).probeUntilUs() : 0;
         }
         PendingMessage pending = first;
         while (pending != null) {
@@ -753,9 +790,11 @@
      * route, no connection that was idle half as long (a quarter for unsafe messages) is used for a while. This costs
      * handshakes.
      */
-    private void closeUntrustedConnections(final Call call, final EndpointState endpoint, final PendingMessage pending) {
+    private void closeUntrustedConnections(
+            final Call call, final EndpointState endpoint, final PendingMessage pending) {
         final long idleUs = nowUs - endpoint.lastUseUs;
-        if (endpoint.connections > 0 && idleUs >= trustedIdleUs / (pending.messageClass.effect() == Effect.UNSAFE ? 2 : 1)) {
+        if (endpoint.connections > 0
+                && idleUs >= trustedIdleUs / (pending.messageClass.effect() == Effect.UNSAFE ? 2 : 1)) {
             endpoint.connections = 0;
             actions.closeIdleConnections(endpoint.listed.id());
         } else if (endpoint.connections > 0) {
@@ -803,7 +842,10 @@
                 route.window = clamp(
                         route.window * (1 + change),
                         MIN_WINDOW_CALLS,
-                        Math.max(1, Math.floor(HEALTHY_SLOT_SHARE * settings.limits().slots())));
+                        Math.max(
+                                1,
+                                Math.floor(
+                                        HEALTHY_SLOT_SHARE * settings.limits().slots())));
             }
             route.unhealthy = latency > HIGH_INPUT || refusal > HIGH_INPUT;
         }
@@ -852,7 +894,8 @@
      * Records an outcome: service times, the inputs of the window step, waits, and the health of endpoint and route.
      * Figures in calls count a message as its part of the call, so that five messages refused together are one refusal.
      */
-    private void recordOutcome(final EndpointState endpoint, final Call call, final PendingMessage pending, final Outcome outcome) {
+    private void recordOutcome(
+            final EndpointState endpoint, final Call call, final PendingMessage pending, final Outcome outcome) {
         final Route route = endpoint.route;
         if (outcome.reportedLimit() != null) {
             route.lastReport = outcome.reportedLimit();
@@ -868,7 +911,9 @@
         switch (outcome.result()) {
             case DELIVERED -> {
                 if (effectiveCircuit(route) == CircuitState.OPEN
-                        || route.circuit == CircuitState.CLOSED && isSuspect(route) && nowUs - route.troubleSinceUs >= ENDPOINT_BACK_OFF_US) {
+                        || route.circuit == CircuitState.CLOSED
+                                && isSuspect(route)
+                                && nowUs - route.troubleSinceUs >= ENDPOINT_BACK_OFF_US) {
                     beginSlowStart(route, nowUs);
                 }
                 learnServiceTime(route, pending, outcome.durationUs());
@@ -888,7 +933,8 @@
                 final long fromUs = Math.max(nowUs, route.waitUntilUs);
                 final long intervalUs = retryIntervalUs(route, fromUs);
                 final boolean waitRequested = outcome.waitUs() > 0;
-                route.pauseUntilUs = fromUs + (waitRequested ? (long) (random.nextDouble() * intervalUs) : withJitter(intervalUs));
+                route.pauseUntilUs =
+                        fromUs + (waitRequested ? (long) (random.nextDouble() * intervalUs) : withJitter(intervalUs));
                 if (settings.couriers() > SMALL_FLEET_COURIERS) {
                     // Couriers with the same interval that were refused together would return together, again and
                     // again.
@@ -896,7 +942,8 @@
                             route.pauseUntilUs,
                             route.lastSendUs + (long) (SECOND_US * (1 + random.nextDouble()) / allowedRate(route)));
                 }
-                addFailure(route, outcome.waitUs() > MAX_RATE_LIMIT_WAIT_US ? OUTAGE_WEIGHT : callShare * REFUSED_WEIGHT);
+                addFailure(
+                        route, outcome.waitUs() > MAX_RATE_LIMIT_WAIT_US ? OUTAGE_WEIGHT : callShare * REFUSED_WEIGHT);
             }
             case ERROR -> {
                 route.errorCalls += callShare;
@@ -904,7 +951,10 @@
                 addFailure(route, callShare * ERROR_WEIGHT);
             }
             case TIMED_OUT, RESET, NO_CONNECTION, CANCELLED -> {
-                call.hitDeadConnection |= !endpoint.disabled && call.reusesConnection && outcome.result() == Result.RESET && endpoint.failureRun[classIndex] == 0;
+                call.hitDeadConnection |= !endpoint.disabled
+                        && call.reusesConnection
+                        && outcome.result() == Result.RESET
+                        && endpoint.failureRun[classIndex] == 0;
                 if (endpoint.disabled || call.hitDeadConnection) {
                     // The endpoint was disabled for a restart, or a kept connection was dead: this says nothing about
                     // the route.
@@ -967,7 +1017,8 @@
         route.lastFailureUs = weight > 0 ? nowUs : route.lastFailureUs;
         // Calls in flight together are refused together: a run of refusals directly after a success is overload, not an
         // outage.
-        final boolean longRun = route.failureRun + countSilent(route) >= OUTAGE_WEIGHT && nowUs - route.lastServedUs >= MIN_PAUSE_US;
+        final boolean longRun =
+                route.failureRun + countSilent(route) >= OUTAGE_WEIGHT && nowUs - route.lastServedUs >= MIN_PAUSE_US;
         final boolean outage = longRun || route.failureShare > OUTAGE_FAILURE_SHARE;
         if (outage && route.circuit != CircuitState.OPEN) {
             route.circuit = CircuitState.OPEN;
@@ -1046,7 +1097,8 @@
     private long nextProbeUs(final Route route) {
         final long fromUs = Math.max(nowUs, route.waitUntilUs);
         final long outageSinceUs = Math.min(
-                route.troubleSinceUs, hasVerdict(route, TierHealth.DOWN) ? currentVerdict(route).sinceUs() : NEVER);
+                route.troubleSinceUs,
+                hasVerdict(route, TierHealth.DOWN) ? currentVerdict(route).sinceUs() : NEVER);
         final double ageUs = Math.max(MIN_PAUSE_US, fromUs - outageSinceUs);
         final double intervalUs = ageUs * (Math.pow(1 - random.nextDouble(), -1 / overloadShare(0)) - 1);
         return fromUs + (long) Math.min(intervalUs, withJitter((long) (callIntervalUs(route) / overloadShare(0))));
@@ -1070,7 +1122,8 @@
         final double ratio = durationUs / Math.max(1, classServiceTimeUs[classIndex]);
         route.latencyRatioSum += ratio;
         final double weight = Math.max(MIN_SAMPLE_WEIGHT, 1.0 / ++classSamples[classIndex]);
-        classServiceTimeUs[classIndex] += weight * (durationUs / Math.max(MIN_PACE, route.pace) - classServiceTimeUs[classIndex]);
+        classServiceTimeUs[classIndex] +=
+                weight * (durationUs / Math.max(MIN_PACE, route.pace) - classServiceTimeUs[classIndex]);
         route.pace += Math.max(MIN_SAMPLE_WEIGHT, 1.0 / (1 + ++route.paceSamples)) * (ratio - route.pace);
     }
 
@@ -1097,7 +1150,8 @@
             return leftUs;
         }
         if (pending.messageClass.effect() == Effect.KEYED && !pending.mayHaveExecuted) {
-            final long retryableUs = (long) ((1 - KEY_WINDOW_MARGIN_SHARE) * pending.messageClass.keyWindowUs()) - MIN_OVERDUE_US / 2;
+            final long retryableUs =
+                    (long) ((1 - KEY_WINDOW_MARGIN_SHARE) * pending.messageClass.keyWindowUs()) - MIN_OVERDUE_US / 2;
             timeoutUs = retryableUs < MIN_OVERDUE_US ? timeoutUs : Math.min(timeoutUs, retryableUs);
         }
         return leftUs - timeoutUs < expectedUs ? leftUs : timeoutUs;
@@ -1111,7 +1165,8 @@
             for (final Route route : destination.routes) {
                 addFailure(route, 0);
                 if (route.circuit == CircuitState.SLOW_START
-                        && nowUs - route.slowStartSinceUs > settings.guarantees().warmUpUs()) {
+                        && nowUs - route.slowStartSinceUs
+                                > settings.guarantees().warmUpUs()) {
                     route.circuit = CircuitState.CLOSED;
                 }
             }
@@ -1133,7 +1188,9 @@
     private boolean canAttempt(final PendingMessage pending) {
         final Effect effect = pending.messageClass.effect();
         return pending.attempts < settings.limits().maxAttempts()
-                && (!pending.mayHaveExecuted || effect == Effect.SAFE || effect == Effect.KEYED && nowUs < pending.sendableUntilUs());
+                && (!pending.mayHaveExecuted
+                        || effect == Effect.SAFE
+                        || effect == Effect.KEYED && nowUs < pending.sendableUntilUs());
     }
 
     private static boolean canRefuse(final PendingMessage pending) {
@@ -1146,7 +1203,8 @@
     private void giveUp(final PendingMessage pending, final long retryAfterUs) {
         if (canRefuse(pending)) {
             actions.refuse(
-                    pending.message.id(), Math.min(retryAfterUs, settings.limits().maxRetryAfterUs()));
+                    pending.message.id(),
+                    Math.min(retryAfterUs, settings.limits().maxRetryAfterUs()));
         } else {
             actions.fail(pending.message.id());
         }
@@ -1170,14 +1228,16 @@
 
     /** Refuses the messages with least to gain, relative to their class's value, before the store is full. */
     private void makeRoom() {
-        final int reserve = (int) Math.max(1, STORE_RESERVE_SHARE * settings.limits().maxOpenMessages());
+        final int reserve =
+                (int) Math.max(1, STORE_RESERVE_SHARE * settings.limits().maxOpenMessages());
         while (openMessages > settings.limits().maxOpenMessages() - reserve) {
             final PendingMessage least = activeDestinations.values().stream()
                     .flatMap(destination -> destination.waiting.stream())
                     .filter(DeliveryPolicy::canRefuse)
-                    .min(Comparator.comparingDouble(pending ->
-                            valueAt(pending, Math.min(nowUs + pending.destination.queueTimeUs(), pending.sendableUntilUs() - 1))
-                                    / pending.messageClass.value()))
+                    .min(Comparator.comparingDouble(pending -> valueAt(
+                                    pending,
+                                    Math.min(nowUs + pending.destination.queueTimeUs(), pending.sendableUntilUs() - 1))
+                            / pending.messageClass.value()))
                     .orElse(null);
             if (least == null) {
                 return;
@@ -1188,7 +1248,8 @@
 
     /** Meters a tenant against this courier's even part of its quota. True for a message beyond it. */
     private boolean isOverQuota(final int tenant) {
-        final double fleetQuota = tenant < 0 ? 0 : settings.tenants().get(tenant).quotaPerSecond();
+        final double fleetQuota =
+                tenant < 0 ? 0 : settings.tenants().get(tenant).quotaPerSecond();
         final double quota = fleetQuota / settings.couriers();
         if (quota <= 0 || quotaMeterUs[tenant] > nowUs + QUOTA_BURST_MESSAGES * SECOND_US / quota) {
             return quota > 0;
@@ -1249,10 +1310,12 @@
                 endpoints.put(entry.id(), endpoint);
             }
             endpoint.condition = entry.condition();
-            endpoint.route.limitPerSecond = settings.limitHint() == LimitHint.NONE ? endpoint.route.limitPerSecond : entry.weight();
+            endpoint.route.limitPerSecond =
+                    settings.limitHint() == LimitHint.NONE ? endpoint.route.limitPerSecond : entry.weight();
         }
         // A separate route is not forgotten at once: if it is listed again, its wait and outage still hold.
-        endpoints.values()
+        endpoints
+                .values()
                 .removeIf(endpoint -> endpoint.condition == Condition.GONE
                         && endpoint.inFlight == 0
                         && !endpoint.route.kind.separateRoutes()
@@ -1262,7 +1325,8 @@
     /** Forgets endpoints and destinations that are no longer listed and have long been unused. */
     private void forgetUnused() {
         final long beforeUs = nowUs - FORGET_AFTER_US;
-        endpoints.values()
+        endpoints
+                .values()
                 .removeIf(endpoint -> endpoint.condition == Condition.GONE
                         && endpoint.inFlight == 0
                         && endpoint.route.lastSendUs < beforeUs
@@ -1278,19 +1342,21 @@
 
     private Route routeFor(final Endpoint entry) {
         final Destination destination = destinationFor(entry.destination());
-        final DestinationKind kind =
-                entry.kind() < 0 ? new DestinationKind("", false, 1) : settings.destinationKinds().get(entry.kind());
+        final DestinationKind kind = entry.kind() < 0
+                ? new DestinationKind("", false, 1)
+                : settings.destinationKinds().get(entry.kind());
         if (kind.separateRoutes() || destination.routes.isEmpty()) {
             final boolean smallFleet = settings.couriers() <= SMALL_FLEET_COURIERS;
-            destination.routes.add(new Route(entry.destination(), kind, smallFleet ? INITIAL_WINDOW_CALLS : INITIAL_WINDOW_LARGE_FLEET_CALLS));
+            destination.routes.add(new Route(
+                    entry.destination(), kind, smallFleet ? INITIAL_WINDOW_CALLS : INITIAL_WINDOW_LARGE_FLEET_CALLS));
         }
         return destination.routes.get(destination.routes.size() - 1);
     }
 
     @Override
     public String describe(final long now) {
-        final StringBuilder text = new StringBuilder("open " + openMessages + ", calls in flight " + callsInFlight + " of "
-                + settings.limits().slots());
+        final StringBuilder text = new StringBuilder("open " + openMessages + ", calls in flight " + callsInFlight
+                + " of " + settings.limits().slots());
         activeDestinations.forEach((id, destination) -> {
             text.append("; ")
                     .append(id)
@@ -1328,7 +1394,8 @@
     private void requestList() {
         if (settings.listOnRequest() && (listRetryUs == NEVER ? !listRequested : nowUs >= listRetryUs)) {
             listRequested = true;
-            listRetryUs = nowUs + Math.min(MAX_LIST_BACK_OFF_US, settings.guarantees().listRequestDueUs() / 2);
+            listRetryUs =
+                    nowUs + Math.min(MAX_LIST_BACK_OFF_US, settings.guarantees().listRequestDueUs() / 2);
             actions.followList();
         }
     }
@@ -1345,7 +1412,8 @@
         /** Time to serve the waiting messages at the recent rate, us. */
         private long queueTimeUs() {
             final double rate = Math.max(
-                    MIN_SERVICE_RATE, routes.stream().mapToDouble(route -> route.messageRate).sum());
+                    MIN_SERVICE_RATE,
+                    routes.stream().mapToDouble(route -> route.messageRate).sum());
             return (long) (waiting.size() / rate * SECOND_US);
         }
     }
--- a/src/main/java/driftchute/bench/Fields.java
+++ b/src/main/java/driftchute/bench/Fields.java
@@ -43,7 +43,7 @@
         return tag;
     }
 
-    /** The value as text, or {@code absent} if it is missing. */
+    /** The value as text, or {@code defaultValue} if it is missing. */
     public String text(final String name, final String defaultValue) {
         return values.getOrDefault(name, defaultValue);
     }
@@ -62,7 +62,7 @@
     }
 
     /**
-     * The value as an integer, or {@code absent} if it is missing.
+     * The value as an integer, or {@code defaultValue} if it is missing.
      *
      * @throws MalformedLineException if it is no integer
      */
--- a/src/main/java/driftchute/bench/SettingsReader.java
+++ b/src/main/java/driftchute/bench/SettingsReader.java
@@ -27,7 +27,9 @@
                 fields.text("my_zone", ""),
                 fields.text("discovery", "pushed").equals("on_request"),
                 weights,
-                fields.text("extra.fades", "linear").equals("halving") ? Courier.ValueDecay.HALVING : Courier.ValueDecay.LINEAR,
+                fields.text("extra.fades", "linear").equals("halving")
+                        ? Courier.ValueDecay.HALVING
+                        : Courier.ValueDecay.LINEAR,
                 classes(fields),
                 tenants(fields),
                 kinds(fields),
--- a/src/main/java/driftchute/drill/Drill.java
+++ b/src/main/java/driftchute/drill/Drill.java
@@ -23,6 +23,7 @@
 public final class Drill {
     private Drill() {}
 
+    /** Runs the command line; its exit code is the process's. */
     public static void main(final String[] args) {
         System.exit(new CommandLine(new Drill()).execute(args));
     }
--- a/src/main/java/driftchute/drill/Fault.java
+++ b/src/main/java/driftchute/drill/Fault.java
@@ -26,6 +26,7 @@
         REORDER
     }
 
+    /** Passes everything unchanged. */
     public static final Fault PASS = new Fault(Kind.PASS, 0, 0);
 
     /**
--- a/src/main/java/driftchute/drill/UdpRelay.java
+++ b/src/main/java/driftchute/drill/UdpRelay.java
@@ -21,7 +21,7 @@
  * forwarded unchanged, for the receiver to reject.
  */
 public final class UdpRelay implements AutoCloseable {
-    private static final int MAX = 65_535;
+    private static final int MAX_DATAGRAM_BYTES = 65_535;
     private final DatagramSocket socket;
     /** The socket that it sends from: its own, or that of the other relay of a pair. */
     private final DatagramSocket outgoing;
@@ -79,6 +79,7 @@
         return socket.getLocalPort();
     }
 
+    /** Sets the fault for everything that passes from now on. */
     public void set(final Fault next) {
         fault = next;
     }
@@ -88,13 +89,14 @@
         partitioned.addAll(senders);
     }
 
+    /** Ends all partitions. */
     public void heal() {
         partitioned.clear();
     }
 
     private void carry() {
         while (!socket.isClosed()) {
-            final DatagramPacket in = new DatagramPacket(new byte[MAX], MAX);
+            final DatagramPacket in = new DatagramPacket(new byte[MAX_DATAGRAM_BYTES], MAX_DATAGRAM_BYTES);
             try {
                 socket.receive(in);
             } catch (final IOException e) {
--- a/src/main/java/driftchute/fleet/ControlPlane.java
+++ b/src/main/java/driftchute/fleet/ControlPlane.java
@@ -11,14 +11,14 @@
  */
 public final class ControlPlane {
     /** Maximum number of messages between components of this courier in one turn, to stop endless loops. */
-    private static final int MAX_OWN = 1000;
+    private static final int MAX_MESSAGES_TO_SELF = 1000;
 
     /** Sends datagrams. */
     public interface Sender {
         /**
          * Sends a datagram to a peer.
          *
-         * @param datagram at most {@link FrameCodec#MOST_BYTES}
+         * @param datagram at most {@link FrameCodec#MAX_BYTES}
          */
         void send(int peer, byte[] datagram);
     }
@@ -86,10 +86,11 @@
 
     /** Sends the messages collected since the last flush. */
     public void flush(final ClockReading now) {
-        int remaining = MAX_OWN;
+        int remaining = MAX_MESSAGES_TO_SELF;
         for (Message message = packer.nextToSelf(); message != null; message = packer.nextToSelf()) {
             if (remaining-- == 0) {
-                throw new IllegalStateException("components of this courier answer each other in an endless loop: " + message);
+                throw new IllegalStateException(
+                        "components of this courier answer each other in an endless loop: " + message);
             }
             byType.get(message.type()).receive(now, tier.self(), message, packer);
         }
--- a/src/main/java/driftchute/fleet/FrameCodec.java
+++ b/src/main/java/driftchute/fleet/FrameCodec.java
@@ -22,7 +22,7 @@
     /** Size of the type and length before each body, bytes. */
     static final int PREFIX_BYTES = 2;
     /** Maximum body of a message that has a datagram to itself, bytes. */
-    public static final int MAX_BODY = MAX_BYTES - HEADER_BYTES - PREFIX_BYTES;
+    public static final int MAX_BODY_BYTES = MAX_BYTES - HEADER_BYTES - PREFIX_BYTES;
 
     private static final int BYTE_MASK = 0xFF;
 
@@ -48,10 +48,11 @@
     /**
      * Encodes messages into one datagram.
      *
-     * @throws IllegalArgumentException if they exceed {@link #MOST_BYTES}, or one reports a wrong size
+     * @throws IllegalArgumentException if they exceed {@link #MAX_BYTES}, or one reports a wrong size
      */
     public byte[] encode(final List<Message> messages) {
-        final int size = HEADER_BYTES + messages.stream().mapToInt(FrameCodec::sizeOf).sum();
+        final int size =
+                HEADER_BYTES + messages.stream().mapToInt(FrameCodec::sizeOf).sum();
         if (size > MAX_BYTES) {
             throw new IllegalArgumentException("a datagram of " + size + " bytes; " + MAX_BYTES + " is the maximum");
         }
--- a/src/main/java/driftchute/fleet/Message.java
+++ b/src/main/java/driftchute/fleet/Message.java
@@ -10,7 +10,7 @@
     /** The message type, 1 to 255. */
     int type();
 
-    /** Size of its body in bytes, at most {@link FrameCodec#MOST_BODY}. */
+    /** Size of its body in bytes, at most {@link FrameCodec#MAX_BODY_BYTES}. */
     int size();
 
     /** Writes exactly {@link #size()} bytes. */
--- a/src/main/java/driftchute/fleet/lane/DemandTable.java
+++ b/src/main/java/driftchute/fleet/lane/DemandTable.java
@@ -32,7 +32,8 @@
         if (!reports.containsKey(destination) && reports.size() >= MAX_DESTINATIONS) {
             return false;
         }
-        reports.computeIfAbsent(destination, unused -> new HashMap<>()).put(courier, new DemandReport(perSecond, untilUs));
+        reports.computeIfAbsent(destination, unused -> new HashMap<>())
+                .put(courier, new DemandReport(perSecond, untilUs));
         return true;
     }
 
@@ -60,6 +61,7 @@
                 perSecond[i] += word.perSecond[i];
             }
         }
-        return new TotalDemand(new TreeSet<>(reports.get(destination).keySet()), perSecond, 1 - (double) others / couriers);
+        return new TotalDemand(
+                new TreeSet<>(reports.get(destination).keySet()), perSecond, 1 - (double) others / couriers);
     }
 }
--- a/src/main/java/driftchute/fleet/lane/DestinationLanes.java
+++ b/src/main/java/driftchute/fleet/lane/DestinationLanes.java
@@ -79,7 +79,7 @@
         return nowUs >= fleetLevel.untilUs();
     }
 
-    /** Updates the rates and this courier's own level. {@code ownPart}: its part of the limit, messages per second. */
+    /** Updates the rates and this courier's own level. {@code limit}: its part of the limit, messages per second. */
     void update(final long nowUs, final double limit) {
         final double elapsedUs = Math.max(1, nowUs - updatedUs);
         reportedRates.update(counts, elapsedUs);
@@ -89,7 +89,8 @@
         ownLimit = limit > 0 && limit < Double.POSITIVE_INFINITY ? limit : 0;
         controller.decide(nowUs, steadyRates.perSecond(), ownLimit);
         final long epochUs = LaneAllocator.EPOCH_MS * 1000;
-        ownLevel = controller.at(fleetLevel.level().epoch() + Math.max(0, nowUs - fleetLevel.untilUs() + graceUs) / epochUs);
+        ownLevel = controller.at(
+                fleetLevel.level().epoch() + Math.max(0, nowUs - fleetLevel.untilUs() + graceUs) / epochUs);
     }
 
     /** Adjusts the bands to the level that applies now. */
--- a/src/main/java/driftchute/fleet/lane/HeldMessages.java
+++ b/src/main/java/driftchute/fleet/lane/HeldMessages.java
@@ -16,7 +16,7 @@
      * An accepted message.
      *
      * @param dueUs when it must be delivered to be in time
-     * @param harmless it may end undelivered without violating the rule on duplicates
+     * @param droppable it may end undelivered without violating the rule on duplicates
      */
     public record HeldMessage(String id, int lane, long dueUs, long acceptedUs, boolean droppable) {}
 
--- a/src/main/java/driftchute/fleet/lane/LaneAllocator.java
+++ b/src/main/java/driftchute/fleet/lane/LaneAllocator.java
@@ -1,7 +1,7 @@
 package driftchute.fleet.lane;
 
-import driftchute.fleet.EventLog;
 import driftchute.fleet.ClockReading;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.Outbox;
 import java.util.HashMap;
 import java.util.Map;
@@ -15,7 +15,7 @@
     /** How long the same accounts are shed, ms: longer than a client's retries, short compared to its patience. */
     static final long EPOCH_MS = 10_000;
     /** Maximum distance of another allocator's clock, in epochs (a minute). Greater ones are invalid. */
-    private static final long MAX_AHEAD = 6;
+    private static final long MAX_EPOCHS_AHEAD = 6;
 
     private final Lanes lanes;
     private final int couriers;
@@ -34,7 +34,11 @@
      * @param sequence numbers its messages in increasing order
      */
     LaneAllocator(
-            final Lanes lanes, final int couriers, final long token, final LongSupplier sequence, final EventLog events) {
+            final Lanes lanes,
+            final int couriers,
+            final long token,
+            final LongSupplier sequence,
+            final EventLog events) {
         this.lanes = lanes;
         this.couriers = couriers;
         this.token = token;
@@ -60,12 +64,17 @@
      * Decides on all destinations and sends the levels to the couriers that use them. {@code heard}: levels of an
      * earlier allocator, which new ones continue.
      */
-    void decide(final ClockReading now, final DestinationLimits capacity, final Map<Long, ReceivedLevel> heard, final Outbox out) {
+    void decide(
+            final ClockReading now,
+            final DestinationLimits capacity,
+            final Map<Long, ReceivedLevel> heard,
+            final Outbox out) {
         table.expire(now.monoUs());
         controllers.keySet().retainAll(table.destinations());
         epoch = Math.max(epoch, Math.max(0, now.wallMs()) / EPOCH_MS);
         for (final long destination : table.destinations()) {
-            final SheddingController level = controllers.computeIfAbsent(destination, unused -> newController(heard.get(destination)));
+            final SheddingController level =
+                    controllers.computeIfAbsent(destination, unused -> newController(heard.get(destination)));
             final DemandTable.TotalDemand sum = table.sum(destination, couriers);
             final double limit = capacity.limit(destination) * sum.sameConfigShare();
             level.decide(now.monoUs(), sum.perSecond(), limit);
@@ -82,14 +91,18 @@
         final SheddingController level = new SheddingController(lanes.shares());
         if (heard != null) {
             level.continueFrom(heard.level());
-            if (heard.level().epoch() <= epoch + MAX_AHEAD) {
+            if (heard.level().epoch() <= epoch + MAX_EPOCHS_AHEAD) {
                 epoch = Math.max(epoch, heard.level().epoch());
             }
         }
         return level;
     }
 
-    private void logLevel(final long destination, final SheddingLevel decided, final DemandTable.TotalDemand sum, final double limit) {
+    private void logLevel(
+            final long destination,
+            final SheddingLevel decided,
+            final DemandTable.TotalDemand sum,
+            final double limit) {
         final int first = decided.firstShed();
         final Integer before = firstShed.put(destination, first);
         if (first != (before == null ? -1 : before)) {
--- a/src/main/java/driftchute/fleet/lane/LaneComponent.java
+++ b/src/main/java/driftchute/fleet/lane/LaneComponent.java
@@ -1,10 +1,10 @@
 package driftchute.fleet.lane;
 
+import driftchute.fleet.ClockReading;
+import driftchute.fleet.Component;
 import driftchute.fleet.EventLog;
 import driftchute.fleet.Message;
-import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
-import driftchute.fleet.Component;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.OptionalLong;
@@ -49,7 +49,7 @@
     /**
      * Creates the component of one courier in a tier of so many.
      *
-     * @param rationUs how long a level is valid, us
+     * @param leaseUs how long a level is valid, us
      * @param current the lanes in force, which may change
      */
     public LaneComponent(
@@ -68,7 +68,7 @@
         this.lanes = current.get();
     }
 
-    /** Sets this courier's offered load, messages per second by destination and lane, from {@link LoadShedder#turn}. */
+    /** Sets this courier's offered load, messages per second by destination and lane, from {@link LoadShedder#update}. */
     public void setOffered(final ClockReading now, final Map<Long, double[]> perSecond) {
         offered = Map.copyOf(perSecond);
         offeredUntilUs = now.monoUs() + leaseUs;
--- a/src/main/java/driftchute/fleet/lane/LaneConfigMessage.java
+++ b/src/main/java/driftchute/fleet/lane/LaneConfigMessage.java
@@ -8,7 +8,7 @@
 /**
  * The latest lane configuration of its sender. No courier reports another's, so that none can fake a majority.
  *
- * @param asks the sender has not heard which configuration the receiver has
+ * @param requestsReply the sender has not heard which configuration the receiver has
  */
 record LaneConfigMessage(int version, int digest, boolean requestsReply) implements Message {
     static final int TYPE = 0x52;
--- a/src/main/java/driftchute/fleet/lane/LaneConfigVersions.java
+++ b/src/main/java/driftchute/fleet/lane/LaneConfigVersions.java
@@ -1,11 +1,11 @@
 package driftchute.fleet.lane;
 
-import driftchute.fleet.EventLog;
-import driftchute.fleet.Message;
 import driftchute.fleet.ClockReading;
-import driftchute.fleet.Outbox;
 import driftchute.fleet.Component;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.GossipSource;
+import driftchute.fleet.Message;
+import driftchute.fleet.Outbox;
 import driftchute.fleet.Tier;
 import java.util.HashMap;
 import java.util.List;
@@ -151,16 +151,18 @@
                 }
             }
         }
-        return timesSent < SEND_AFTER_US.length ? Math.max(now.monoUs() + 1, changedUs + SEND_AFTER_US[timesSent]) : Long.MAX_VALUE;
+        return timesSent < SEND_AFTER_US.length
+                ? Math.max(now.monoUs() + 1, changedUs + SEND_AFTER_US[timesSent])
+                : Long.MAX_VALUE;
     }
 
     @Override
     public List<Message> gossip(final ClockReading now, final int peer, final int room) {
-        final LaneConfigMessage mine = ownMessage(peer, true);
-        if (!started || now.monoUs() - lastGossipUs < GOSSIP_INTERVAL_US || mine.size() + PREFIX_BYTES > room) {
+        final LaneConfigMessage message = ownMessage(peer, true);
+        if (!started || now.monoUs() - lastGossipUs < GOSSIP_INTERVAL_US || message.size() + PREFIX_BYTES > room) {
             return List.of();
         }
         lastGossipUs = now.monoUs();
-        return List.of(mine);
+        return List.of(message);
     }
 }
--- a/src/main/java/driftchute/fleet/lane/LaneFields.java
+++ b/src/main/java/driftchute/fleet/lane/LaneFields.java
@@ -8,7 +8,7 @@
 final class LaneFields {
     private LaneFields() {}
 
-    /** A number of lanes, 1 to {@link Lanes#MOST}. */
+    /** A number of lanes, 1 to {@link Lanes#MAX}. */
     static int count(final ByteBuffer from) throws MalformedMessageException {
         final int count = from.get();
         if (count < 1 || count > Lanes.MAX) {
--- a/src/main/java/driftchute/fleet/lane/LaneRates.java
+++ b/src/main/java/driftchute/fleet/lane/LaneRates.java
@@ -4,7 +4,7 @@
 final class LaneRates {
     private static final double US_PER_S = 1e6;
     /** Lower rates count as zero: a lane that has fallen silent has no demand. */
-    private static final double MIN_PER_S = 0.05;
+    private static final double MIN_RATE = 0.05;
 
     private final double messages;
     private final double leastUs;
@@ -32,7 +32,7 @@
         final double weight = updated ? 1 - Math.exp(-elapsedUs / smoothUs) : 1;
         for (int i = 0; i < counts.length; i++) {
             perSecond[i] += weight * (counts[i] * US_PER_S / elapsedUs - perSecond[i]);
-            perSecond[i] = perSecond[i] < MIN_PER_S ? 0 : perSecond[i];
+            perSecond[i] = perSecond[i] < MIN_RATE ? 0 : perSecond[i];
         }
         updated = true;
     }
--- a/src/main/java/driftchute/fleet/lane/Lanes.java
+++ b/src/main/java/driftchute/fleet/lane/Lanes.java
@@ -133,7 +133,8 @@
      */
     static Lanes stricter(final Lanes inForce, final Lanes pending) {
         require(
-                inForce.laneByTenantAndClass.length == pending.laneByTenantAndClass.length && inForce.laneByTenantAndClass[0].length == pending.laneByTenantAndClass[0].length,
+                inForce.laneByTenantAndClass.length == pending.laneByTenantAndClass.length
+                        && inForce.laneByTenantAndClass[0].length == pending.laneByTenantAndClass[0].length,
                 "blocks for different settings");
         final int last = inForce.count() - 1;
         final int[] named = new int[pending.count()];
@@ -216,7 +217,8 @@
     /** The lane of a message, by the settings' indexes of its class and tenant (-1 and unknown ones: none). */
     public int laneOf(final int messageClass, final int tenant) {
         final int row = tenant < 0 || tenant >= laneByTenantAndClass.length - 1 ? 0 : tenant + 1;
-        final int column = messageClass < 0 || messageClass >= laneByTenantAndClass[row].length - 1 ? 0 : messageClass + 1;
+        final int column =
+                messageClass < 0 || messageClass >= laneByTenantAndClass[row].length - 1 ? 0 : messageClass + 1;
         return laneByTenantAndClass[row][column];
     }
 
--- a/src/main/java/driftchute/fleet/lane/LoadShedder.java
+++ b/src/main/java/driftchute/fleet/lane/LoadShedder.java
@@ -25,7 +25,7 @@
     /**
      * Creates the shedder.
      *
-     * @param rationUs how long a new destination waits for a level before this courier decides by itself, us
+     * @param leaseUs how long a new destination waits for a level before this courier decides by itself, us
      */
     public LoadShedder(final long leaseUs, final Lanes lanes, final EventLog events) {
         this.leaseUs = leaseUs;
@@ -49,7 +49,7 @@
         });
     }
 
-    /** Counts an arriving message, whatever happens to it. Once per message, before {@link #shed}. */
+    /** Counts an arriving message, whatever happens to it. Once per message, before {@link #shouldShed}. */
     public void countOffered(final long nowUs, final long destination, final int lane) {
         DestinationLanes state = states.get(destination);
         if (state == null && states.size() < DemandTable.MAX_DESTINATIONS) {
@@ -84,7 +84,7 @@
      * @param ownPart messages per second that this courier may send to a destination by itself: its rate lease, or its
      * even
      *     part of the reserve; 0 if unknown, and then it sheds nothing by itself
-     * @return the offered load, messages per second by destination and lane, for {@link LaneComponent#offered}
+     * @return the offered load, messages per second by destination and lane, for {@link LaneComponent#setOffered}
      */
     public Map<Long, double[]> update(final long nowUs, final LongToDoubleFunction ownPart) {
         states.values().removeIf(state -> state.idleSince(nowUs - IDLE_US));
--- a/src/main/java/driftchute/fleet/lane/package-info.java
+++ b/src/main/java/driftchute/fleet/lane/package-info.java
@@ -7,6 +7,6 @@
  * both. For each message it asks {@link driftchute.fleet.lane.Lanes} for the lane and the account, {@link
  * driftchute.fleet.lane.Quota} whether it counts there or in the last lane, and {@link driftchute.fleet.lane.LoadShedder}
  * whether it is shed. For held messages, {@link driftchute.fleet.lane.LaneScheduler} chooses the lane to serve next and {@link
- * driftchute.fleet.lane.Held} the messages to drop.
+ * driftchute.fleet.lane.HeldMessages} the messages to drop.
  */
 package driftchute.fleet.lane;
--- a/src/main/java/driftchute/fleet/lease/AcceptorRefusal.java
+++ b/src/main/java/driftchute/fleet/lease/AcceptorRefusal.java
@@ -8,8 +8,8 @@
 /**
  * A negative reply of an acceptor.
  *
- * @param duty the role's number
- * @param life the process that asked
+ * @param role the role's number
+ * @param processId the process that asked
  * @param serial number of its request
  * @param token the highest token that prevents it, 0 if none
  * @param lockedMs how long the acceptor is still locked by another process, ms; 0 if it is not
@@ -37,6 +37,7 @@
     }
 
     static Message read(final ByteBuffer body) throws MalformedMessageException {
-        return new AcceptorRefusal(AcceptorReply.readRole(body), body.getInt(), Varint.get(body), Varint.get(body), Varint.get(body));
+        return new AcceptorRefusal(
+                AcceptorReply.readRole(body), body.getInt(), Varint.get(body), Varint.get(body), Varint.get(body));
     }
 }
--- a/src/main/java/driftchute/fleet/lease/AcceptorReply.java
+++ b/src/main/java/driftchute/fleet/lease/AcceptorReply.java
@@ -9,8 +9,8 @@
  * A positive reply of an acceptor.
  *
  * @param type one of the constants
- * @param duty the role's number
- * @param life the process that asked
+ * @param role the role's number
+ * @param processId the process that asked
  * @param serial number of its request
  */
 record AcceptorReply(int type, int role, int processId, long serial) implements Message {
@@ -19,7 +19,7 @@
     /** Reply to a propose or renew: accepted. */
     static final int ACCEPTED = 0x25;
     /** Maximum number of roles in a tier, so that a role number takes one byte. */
-    static final int MAX_DUTIES = 128;
+    static final int MAX_ROLES = 128;
 
     @Override
     public int size() {
@@ -39,7 +39,7 @@
 
     static int readRole(final ByteBuffer body) throws MalformedMessageException {
         final long duty = Varint.get(body);
-        if (duty >= MAX_DUTIES) {
+        if (duty >= MAX_ROLES) {
             throw new MalformedMessageException("invalid role number " + duty);
         }
         return (int) duty;
--- a/src/main/java/driftchute/fleet/lease/Ballot.java
+++ b/src/main/java/driftchute/fleet/lease/Ballot.java
@@ -1,7 +1,7 @@
 package driftchute.fleet.lease;
 
 /**
- * A ballot of one process of a courier. Ballots are ordered by round, then courier. {@code life} is a random number of
+ * A ballot of one process of a courier. Ballots are ordered by round, then courier. {@code processId} is a random number of
  * the process; it distinguishes a courier's processes and is not part of the order.
  */
 record Ballot(int courier, int processId, long round) {
--- a/src/main/java/driftchute/fleet/lease/LeaseTiming.java
+++ b/src/main/java/driftchute/fleet/lease/LeaseTiming.java
@@ -5,7 +5,7 @@
  *
  * @param leaseUs how long an acceptor is locked, in whole ms
  * @param holderUs how long a holder counts on a lease, from before it sent the request
- * @param waitUs how long a started process sends no replies
+ * @param startupWaitUs how long a started process sends no replies
  */
 record LeaseTiming(long leaseUs, long holderUs, long startupWaitUs) {
     private static final long MS = 1000;
--- a/src/main/java/driftchute/fleet/lease/Proposer.java
+++ b/src/main/java/driftchute/fleet/lease/Proposer.java
@@ -1,7 +1,7 @@
 package driftchute.fleet.lease;
 
-import driftchute.fleet.EventLog;
 import driftchute.fleet.ClockReading;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.Outbox;
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
@@ -158,7 +158,8 @@
                 acquire(now, out);
             }
         } else if (renewal != null && renewal.isAnsweredBy(answer) && renewal.agree(from) && renewal.won()) {
-            heldUntilUs = Math.max(heldUntilUs, renewal.sinceUs() + candidate.timing().holderUs());
+            heldUntilUs =
+                    Math.max(heldUntilUs, renewal.sinceUs() + candidate.timing().holderUs());
         }
     }
 
@@ -178,7 +179,10 @@
     void onRefused(final ClockReading now, final int from, final AcceptorRefusal refusal, final Outbox out) {
         expire(now);
         onRound(now, Ballot.roundOf(refusal.token()));
-        if (attempt != null && attempt.isAnsweredBy(refusal) && attempt.refuse(from, refusal.lockedMs()) && attempt.lost()) {
+        if (attempt != null
+                && attempt.isAnsweredBy(refusal)
+                && attempt.refuse(from, refusal.lockedMs())
+                && attempt.lost()) {
             failAttempt(now, out);
         } else if (renewal != null && renewal.isAnsweredBy(refusal) && renewal.refuse(from, refusal.lockedMs())) {
             outbid |= refusal.token() > heldBallot.token();
@@ -220,7 +224,8 @@
         final long base = candidate.timing().repeatUs() << failures;
         failures = Math.min(MAX_DOUBLINGS, failures + 1);
         dropAttempt(now, out);
-        nextAttemptUs = now.monoUs() + (lockedUs > 0 ? lockedUs + candidate.delayUs(random) : base / 2 + random.nextLong(base));
+        nextAttemptUs =
+                now.monoUs() + (lockedUs > 0 ? lockedUs + candidate.delayUs(random) : base / 2 + random.nextLong(base));
     }
 
     /** Ends an attempt, and releases locks it may have caused, unless this process holds the role by some of them. */
--- a/src/main/java/driftchute/fleet/lease/ProposerRequest.java
+++ b/src/main/java/driftchute/fleet/lease/ProposerRequest.java
@@ -9,8 +9,8 @@
  * A request or notification from a proposer to an acceptor about one role. The ballot's courier is the sender.
  *
  * @param type one of the constants
- * @param duty the role's number
- * @param life the sender's process
+ * @param role the role's number
+ * @param processId the sender's process
  * @param serial number of the request in that process; repetitions have the same
  * @param round the ballot's round
  * @param leaseMs the sender's lease time, ms
@@ -41,6 +41,11 @@
 
     static Message read(final int type, final ByteBuffer body) throws MalformedMessageException {
         return new ProposerRequest(
-                type, AcceptorReply.readRole(body), body.getInt(), Varint.get(body), Varint.get(body), Varint.get(body));
+                type,
+                AcceptorReply.readRole(body),
+                body.getInt(),
+                Varint.get(body),
+                Varint.get(body),
+                Varint.get(body));
     }
 }
--- a/src/main/java/driftchute/fleet/lease/RoleCandidate.java
+++ b/src/main/java/driftchute/fleet/lease/RoleCandidate.java
@@ -7,9 +7,9 @@
  * This process as a candidate for one role.
  *
  * @param number the role's number
- * @param duty the role's name
+ * @param role the role's name
  * @param rank its courier's rank among all for this role; 0 tries first
- * @param life random number of this process
+ * @param processId random number of this process
  */
 record RoleCandidate(Tier tier, LeaseTiming timing, int number, String role, int rank, int processId) {
     /** Ranks with separate time slots. Higher ranks try at random times after them. */
@@ -17,7 +17,8 @@
     /** Higher ranks spread over a lease time divided by this. */
     private static final int REST_PART = 4;
 
-    static RoleCandidate at(final Tier tier, final LeaseTiming timing, final int number, final String role, final int processId) {
+    static RoleCandidate at(
+            final Tier tier, final LeaseTiming timing, final int number, final String role, final int processId) {
         final long own = score(role, tier.self());
         int rank = 0;
         for (int courier = 0; courier < tier.size(); courier++) {
--- a/src/main/java/driftchute/fleet/lease/RoleLeases.java
+++ b/src/main/java/driftchute/fleet/lease/RoleLeases.java
@@ -1,10 +1,10 @@
 package driftchute.fleet.lease;
 
+import driftchute.fleet.ClockReading;
+import driftchute.fleet.Component;
 import driftchute.fleet.EventLog;
 import driftchute.fleet.Message;
-import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
-import driftchute.fleet.Component;
 import driftchute.fleet.Tier;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -49,7 +49,7 @@
     /**
      * Starts by waiting for one lease time, after which this courier participates.
      *
-     * @param duties names of the roles, 1 to 128, the same at all couriers
+     * @param roleNames names of the roles, 1 to 128, the same at all couriers
      * @param leaseUs duration of a lease without renewal, us (20 ms to 1 h, rounded down to ms); the same at all
      * couriers
      * @param driftPpm maximum drift of a monotonic clock from true time, parts per million (0 to 100,000)
@@ -76,8 +76,9 @@
             final long seed,
             final ClockReading start,
             final EventLog events) {
-        if (roleNames.isEmpty() || roleNames.size() > AcceptorReply.MAX_DUTIES) {
-            throw new IllegalArgumentException("1 to " + AcceptorReply.MAX_DUTIES + " roles are required, not " + roleNames.size());
+        if (roleNames.isEmpty() || roleNames.size() > AcceptorReply.MAX_ROLES) {
+            throw new IllegalArgumentException(
+                    "1 to " + AcceptorReply.MAX_ROLES + " roles are required, not " + roleNames.size());
         }
         final SplittableRandom random = new SplittableRandom(seed);
         this.tier = tier;
@@ -117,9 +118,13 @@
     public void receive(final ClockReading now, final int from, final Message message, final Outbox out) {
         if (message instanceof ProposerRequest request && isKnownRole(request.role())) {
             onRequest(now, from, request, out);
-        } else if (message instanceof AcceptorReply answer && isKnownRole(answer.role()) && answer.processId() == processId) {
+        } else if (message instanceof AcceptorReply answer
+                && isKnownRole(answer.role())
+                && answer.processId() == processId) {
             roleStates.get(answer.role()).proposer.onAgreed(now, from, answer, out);
-        } else if (message instanceof AcceptorRefusal refusal && isKnownRole(refusal.role()) && refusal.processId() == processId) {
+        } else if (message instanceof AcceptorRefusal refusal
+                && isKnownRole(refusal.role())
+                && refusal.processId() == processId) {
             roleStates.get(refusal.role()).proposer.onRefused(now, from, refusal, out);
         } else {
             ignored++;
@@ -154,7 +159,8 @@
             return;
         }
         if (agreed) {
-            final int type = request.type() == ProposerRequest.PREPARE ? AcceptorReply.PROMISED : AcceptorReply.ACCEPTED;
+            final int type =
+                    request.type() == ProposerRequest.PREPARE ? AcceptorReply.PROMISED : AcceptorReply.ACCEPTED;
             out.send(from, new AcceptorReply(type, request.role(), request.processId(), request.serial()));
         } else {
             final long promised = request.type() == ProposerRequest.RENEW ? 0 : state.acceptor.promised(now.monoUs());
@@ -171,7 +177,11 @@
     }
 
     private boolean decide(
-            final ClockReading now, final RoleState state, final ProposerRequest request, final Ballot ballot, final Outbox out) {
+            final ClockReading now,
+            final RoleState state,
+            final ProposerRequest request,
+            final Ballot ballot,
+            final Outbox out) {
         final boolean other = ballot.courier() != tier.self();
         if (request.type() == ProposerRequest.PREPARE) {
             final boolean known = state.acceptor.promised(now.monoUs()) == ballot.token();
--- a/src/main/java/driftchute/fleet/membership/MemberTable.java
+++ b/src/main/java/driftchute/fleet/membership/MemberTable.java
@@ -18,7 +18,7 @@
  */
 final class MemberTable {
     /** Maximum distance of a claimed incarnation above the one heard first hand. */
-    static final long MAX_JUMP = 1L << 20;
+    static final long MAX_INCARNATION_JUMP = 1L << 20;
     /** Size of the type and length before a message's body, bytes. */
     private static final int PREFIX_BYTES = 2;
 
@@ -102,7 +102,7 @@
     void onOwnIncarnation(final int id, final long incarnation) {
         final Member member = members.get(id);
         final Claim alive = new Claim(MemberState.ALIVE, incarnation);
-        if (member.claim.incarnation() - incarnation > MAX_JUMP) {
+        if (member.claim.incarnation() - incarnation > MAX_INCARNATION_JUMP) {
             refused++;
             member.reportedIncarnation = incarnation;
             setClaim(member, alive, id);
@@ -129,7 +129,8 @@
             onClaimAboutSelf(nowUs, claim, by);
             return false;
         }
-        if (member.reportedIncarnation >= 0 && claim.incarnation() - member.reportedIncarnation > MAX_JUMP) {
+        if (member.reportedIncarnation >= 0
+                && claim.incarnation() - member.reportedIncarnation > MAX_INCARNATION_JUMP) {
             refused++;
             return false;
         }
@@ -152,7 +153,7 @@
         if (hasLeft() || claim.incarnation() < incarnation() || !accused && claim.incarnation() == incarnation()) {
             return;
         }
-        if (claim.incarnation() - incarnation() > MAX_JUMP
+        if (claim.incarnation() - incarnation() > MAX_INCARNATION_JUMP
                 || claim.incarnation() >= Claim.MAX_INCARNATION
                 || nowUs < nextRaiseUs) {
             refused++;
@@ -218,7 +219,7 @@
         suspects.forEach(member -> member.suspicion.restart(nowUs));
     }
 
-    /** When {@link #bury} or a probe of a suspect is due, monotonic us. */
+    /** When {@link #declareDead} or a probe of a suspect is due, monotonic us. */
     long dueUs() {
         long due = Long.MAX_VALUE;
         for (final Member member : suspects) {
--- a/src/main/java/driftchute/fleet/membership/Membership.java
+++ b/src/main/java/driftchute/fleet/membership/Membership.java
@@ -1,11 +1,11 @@
 package driftchute.fleet.membership;
 
-import driftchute.fleet.EventLog;
-import driftchute.fleet.Message;
 import driftchute.fleet.ClockReading;
-import driftchute.fleet.Outbox;
 import driftchute.fleet.Component;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.GossipSource;
+import driftchute.fleet.Message;
+import driftchute.fleet.Outbox;
 import driftchute.fleet.Tier;
 import driftchute.fleet.Varint;
 import java.util.ArrayList;
--- a/src/main/java/driftchute/fleet/membership/MembershipTiming.java
+++ b/src/main/java/driftchute/fleet/membership/MembershipTiming.java
@@ -8,10 +8,10 @@
  * @param gossipUs interval of datagrams sent for gossip alone, and between two increments of the own incarnation
  * @param tableUs interval between two requests for a segment of another courier's table
  * @param joinUs time for which a starting courier requests the table every {@code gossipUs}, unless it has it earlier
- * @param leastUs shortest suspicion: all the accusers that are needed have confirmed it
- * @param mostUs longest suspicion: a single accuser
+ * @param minSuspicionUs shortest suspicion: all the accusers that are needed have confirmed it
+ * @param maxSuspicionUs longest suspicion: a single accuser
  * @param accusers number of independent accusers beside the first that shorten the longest suspicion to the shortest
- * @param sendings maximum number of times that a courier sends one change
+ * @param maxSendings maximum number of times that a courier sends one change
  */
 record MembershipTiming(
         long periodUs,
--- a/src/main/java/driftchute/fleet/membership/Messages.java
+++ b/src/main/java/driftchute/fleet/membership/Messages.java
@@ -198,7 +198,8 @@
             claims.add(Claim.read(body));
         }
         if (first + claims.size() > size) {
-            throw new MalformedMessageException("a table segment up to courier " + (first + claims.size()) + " of " + size);
+            throw new MalformedMessageException(
+                    "a table segment up to courier " + (first + claims.size()) + " of " + size);
         }
         return new TableSegment(first, claims);
     }
--- a/src/main/java/driftchute/fleet/membership/Prober.java
+++ b/src/main/java/driftchute/fleet/membership/Prober.java
@@ -18,7 +18,7 @@
     /** Number of helpers of an indirect probe: SWIM's k. */
     private static final int HELPERS = 3;
     /** Maximum number of indirect probes in progress for others. Further requests are ignored. */
-    private static final int MAX_ERRANDS = 64;
+    private static final int MAX_INDIRECT_PROBES = 64;
 
     /** A probe by this courier for itself. */
     private static final class Probe {
@@ -108,7 +108,7 @@
         return ping(nextSequence(), target);
     }
 
-    /** Up to {@code most} random other couriers that match. */
+    /** Up to {@code max} random other couriers that match. */
     List<Integer> randomMembers(final int max, final Predicate<Member> test) {
         final List<Integer> ids =
                 new ArrayList<>(members.others(test).map(member -> member.id).toList());
@@ -135,7 +135,8 @@
     private void askHelpers(final Outbox out) {
         probe.helpersAsked = true;
         out.send(probe.target, ping(probe.sequence, probe.target));
-        probe.helpers.addAll(randomMembers(HELPERS, member -> member.claim.state() == MemberState.ALIVE && member.id != probe.target));
+        probe.helpers.addAll(randomMembers(
+                HELPERS, member -> member.claim.state() == MemberState.ALIVE && member.id != probe.target));
         probe.helpers.forEach(helper -> out.send(helper, new Messages.PingRequest(probe.sequence, probe.target)));
     }
 
@@ -222,7 +223,9 @@
 
     /** Handles a request to probe another courier. */
     void onPingRequest(final long nowUs, final int from, final Messages.PingRequest request, final Outbox out) {
-        if (request.target() != from && !members.isSelf(request.target()) && indirectProbes.size() < MAX_ERRANDS) {
+        if (request.target() != from
+                && !members.isSelf(request.target())
+                && indirectProbes.size() < MAX_INDIRECT_PROBES) {
             final Messages.Ping ping = ping(request.target());
             indirectProbes.put(
                     ping.sequence(),
--- a/src/main/java/driftchute/fleet/membership/Suspicion.java
+++ b/src/main/java/driftchute/fleet/membership/Suspicion.java
@@ -59,6 +59,8 @@
             return sinceUs + timing.minSuspicionUs();
         }
         final double reduction = Math.log(others + 1.0) / Math.log(timing.accusers() + 1.0);
-        return sinceUs + timing.maxSuspicionUs() - (long) ((timing.maxSuspicionUs() - timing.minSuspicionUs()) * reduction);
+        return sinceUs
+                + timing.maxSuspicionUs()
+                - (long) ((timing.maxSuspicionUs() - timing.minSuspicionUs()) * reduction);
     }
 }
--- a/src/main/java/driftchute/fleet/ration/DestinationLeases.java
+++ b/src/main/java/driftchute/fleet/ration/DestinationLeases.java
@@ -39,7 +39,7 @@
      */
     private static final double KEEP_ASKING_SHARE = 0.8;
     /** Minimum demand worth asking for, calls per second: one in ten seconds. */
-    private static final double MIN = 0.1;
+    private static final double MIN_DEMAND = 0.1;
 
     private record Lease(int share, double limit, long untilUs) {
         double rate(final double told) {
@@ -85,7 +85,11 @@
     void onReport(final long nowUs, final double limit, final double callsPerSecond, final int waiting) {
         recordRate(nowUs);
         limitEstimate.add(nowUs, limit);
-        demand(nowUs, HEADROOM * callsPerSecond + waiting / QUEUE_SEND_SECONDS + Math.max(0, waiting - QUEUE_SECONDS * demand));
+        demand(
+                nowUs,
+                HEADROOM * callsPerSecond
+                        + waiting / QUEUE_SEND_SECONDS
+                        + Math.max(0, waiting - QUEUE_SECONDS * demand));
         usedUs = nowUs;
         recordRate(nowUs);
     }
@@ -98,14 +102,15 @@
 
     private void demand(final long nowUs, final double fresh) {
         final double kept = Math.exp(-(double) (nowUs - reportedUs) / settleUs);
-        demand = Math.min(LeaseRequest.MAX_RATE, fresh > UNSMOOTHED_GROWTH * demand ? fresh : fresh + (demand - fresh) * kept);
+        demand = Math.min(
+                LeaseRequest.MAX_RATE, fresh > UNSMOOTHED_GROWTH * demand ? fresh : fresh + (demand - fresh) * kept);
         reportedUs = nowUs;
     }
 
     /** The rate to ask for, calls per second; 0 if the reserved part is enough or the reports have stopped. */
     double rateToRequest(final long nowUs) {
         final double enough = (asking ? KEEP_ASKING_SHARE : 1) * reservedRate();
-        asking = demand > Math.max(enough, MIN) && nowUs - reportedUs < settleUs;
+        asking = demand > Math.max(enough, MIN_DEMAND) && nowUs - reportedUs < settleUs;
         return asking ? demand : 0;
     }
 
@@ -147,7 +152,8 @@
                         .mapToDouble(lease -> lease.rate(limitEstimate.limit()))
                         .max()
                         .orElse(0);
-        final double before = steps.isEmpty() ? reservedRate() : steps.getFirst().level();
+        final double before =
+                steps.isEmpty() ? reservedRate() : steps.getFirst().level();
         if (level != before) {
             steps.addFirst(new RateStep(level < before ? recordedUs : nowUs, level));
         }
--- a/src/main/java/driftchute/fleet/ration/LeaseGrant.java
+++ b/src/main/java/driftchute/fleet/ration/LeaseGrant.java
@@ -49,7 +49,8 @@
         final int rationMs = LeaseRequest.readLeaseMs(body);
         final List<GrantedShare> portions = new ArrayList<>();
         while (body.hasRemaining()) {
-            portions.add(new GrantedShare(Varint.get(body), body.getShort() & LimitShares.WHOLE, LeaseRequest.readRate(body)));
+            portions.add(new GrantedShare(
+                    Varint.get(body), body.getShort() & LimitShares.WHOLE, LeaseRequest.readRate(body)));
         }
         return new LeaseGrant(seq, token, rationMs, portions);
     }
--- a/src/main/java/driftchute/fleet/ration/LeaseRequest.java
+++ b/src/main/java/driftchute/fleet/ration/LeaseRequest.java
@@ -17,13 +17,13 @@
     /** Upper bound of plausible rates, calls per second. */
     static final float MAX_RATE = 1e9f;
     /** Longest lease time that a configuration may set, ms. */
-    static final int MAX_MS = 60_000;
+    static final int MAX_LEASE_MS = 60_000;
     /** Maximum size of a demand, or of a granted share, beside its destination: two floats, bytes. */
     static final int FIGURES_BYTES = 2 * Float.BYTES;
     /**
      * Maximum size of a request's demands, so that the grant, with two varints and a time, also fits into one message.
      */
-    static final int MAX_ASKS = FrameCodec.MAX_BODY - 24;
+    static final int MAX_DEMANDS_BYTES = FrameCodec.MAX_BODY_BYTES - 24;
 
     /** The reported limit, calls per second (0: none), and the rate that the courier could use (0: none needed). */
     record Demand(long destination, float limit, float rate) {
@@ -69,7 +69,7 @@
 
     static int readLeaseMs(final ByteBuffer body) throws MalformedMessageException {
         final long rationMs = Varint.get(body);
-        if (rationMs < 1 || rationMs > MAX_MS) {
+        if (rationMs < 1 || rationMs > MAX_LEASE_MS) {
             throw new MalformedMessageException("invalid lease time of " + rationMs + " ms");
         }
         return (int) rationMs;
--- a/src/main/java/driftchute/fleet/ration/LimitEstimate.java
+++ b/src/main/java/driftchute/fleet/ration/LimitEstimate.java
@@ -11,7 +11,7 @@
     /** A report below this part of the median is a lowered limit. Two reports that are each 13% off differ by less. */
     private static final double LOWERED_SHARE = 0.75;
     /** Maximum number of reports: twice the usual lease time's at one per 100 ms. */
-    private static final int MAX = 32;
+    private static final int MAX_SAMPLES = 32;
 
     private record Sample(long atUs, double limit) {}
 
@@ -29,7 +29,7 @@
         if (told > 0) {
             samples.add(new Sample(nowUs, told));
         }
-        if (samples.size() > MAX) {
+        if (samples.size() > MAX_SAMPLES) {
             samples.remove();
         }
         final double[] sorted =
--- a/src/main/java/driftchute/fleet/ration/MaxMinFairness.java
+++ b/src/main/java/driftchute/fleet/ration/MaxMinFairness.java
@@ -53,7 +53,8 @@
         if (!(capacity >= 0) || Double.isInfinite(capacity)) {
             throw new IllegalArgumentException("invalid capacity: " + capacity);
         }
-        final double guaranteed = claims.stream().mapToDouble(MaxMinFairness::guaranteed).sum();
+        final double guaranteed =
+                claims.stream().mapToDouble(MaxMinFairness::guaranteed).sum();
         if (guaranteed >= capacity) {
             return claims.stream()
                     .mapToDouble(claim -> guaranteed == 0 ? 0 : guaranteed(claim) * (capacity / guaranteed))
--- a/src/main/java/driftchute/fleet/ration/RateAllocator.java
+++ b/src/main/java/driftchute/fleet/ration/RateAllocator.java
@@ -140,16 +140,19 @@
     }
 
     /** Handles a lease request; answers through {@code reply} as far as something may be granted now. */
-    void onRequest(final long nowUs, final int from, final LeaseRequest request, final BiConsumer<Integer, LeaseGrant> reply) {
+    void onRequest(
+            final long nowUs, final int from, final LeaseRequest request, final BiConsumer<Integer, LeaseGrant> reply) {
         final CourierDemand courierDemand = couriersByNumber.computeIfAbsent(from, unused -> new CourierDemand());
         courierDemand.reserve = request.reserve();
         courierDemand.leaseUs = request.leaseMs() * 1000L;
         final List<Long> fresh = new ArrayList<>();
         for (final LeaseRequest.Demand requested : request.demands()) {
-            if (courierDemand.demands.size() >= MAX_DESTINATIONS && !courierDemand.demands.containsKey(requested.destination())) {
+            if (courierDemand.demands.size() >= MAX_DESTINATIONS
+                    && !courierDemand.demands.containsKey(requested.destination())) {
                 continue;
             }
-            final DestinationDemand demand = courierDemand.demands.computeIfAbsent(requested.destination(), unused -> new DestinationDemand());
+            final DestinationDemand demand =
+                    courierDemand.demands.computeIfAbsent(requested.destination(), unused -> new DestinationDemand());
             if (demand.receivedUs > nowUs - 2 * self.leaseUs && request.seq() <= demand.seq) {
                 continue;
             }
@@ -177,12 +180,18 @@
         }
         nextCheckUs = nowUs + RECHECK_US;
         couriersByNumber.forEach((courier, courierDemand) -> {
-            courierDemand.demands.values().removeIf(demand -> demand.receivedUs <= nowUs - 2 * longestLeaseUs() && demand.outstandingShare(nowUs) == 0);
+            courierDemand
+                    .demands
+                    .values()
+                    .removeIf(demand ->
+                            demand.receivedUs <= nowUs - 2 * longestLeaseUs() && demand.outstandingShare(nowUs) == 0);
             final Map<Long, List<Long>> bySeq = new TreeMap<>();
             courierDemand.demands.forEach((destination, demand) -> {
                 demand.belowTarget &= demand.receivedUs > nowUs - self.leaseUs / 2;
-                if (demand.belowTarget && share(nowUs, courierDemand, destination) > MIN_RAISE_FACTOR * demand.granted + MIN_RAISE) {
-                    bySeq.computeIfAbsent(demand.seq, unused -> new ArrayList<>()).add(destination);
+                if (demand.belowTarget
+                        && share(nowUs, courierDemand, destination) > MIN_RAISE_FACTOR * demand.granted + MIN_RAISE) {
+                    bySeq.computeIfAbsent(demand.seq, unused -> new ArrayList<>())
+                            .add(destination);
                 }
             });
             bySeq.forEach((seq, destinations) -> grant(nowUs, courier, seq, destinations, reply));
@@ -274,7 +283,8 @@
     long nextUs(final long nowUs) {
         if (token.isEmpty()
                 || couriersByNumber.values().stream()
-                        .noneMatch(courierDemand -> courierDemand.demands.values().stream().anyMatch(demand -> demand.belowTarget))) {
+                        .noneMatch(courierDemand ->
+                                courierDemand.demands.values().stream().anyMatch(demand -> demand.belowTarget))) {
             return Long.MAX_VALUE;
         }
         return Math.max(nowUs + RECHECK_US, readyUs());
--- a/src/main/java/driftchute/fleet/ration/RateLeases.java
+++ b/src/main/java/driftchute/fleet/ration/RateLeases.java
@@ -1,13 +1,13 @@
 package driftchute.fleet.ration;
 
 import driftchute.Courier;
-import driftchute.fleet.LeasedRole;
+import driftchute.fleet.ClockReading;
+import driftchute.fleet.Component;
 import driftchute.fleet.EventLog;
 import driftchute.fleet.FleetConfig;
+import driftchute.fleet.LeasedRole;
 import driftchute.fleet.Message;
-import driftchute.fleet.ClockReading;
 import driftchute.fleet.Outbox;
-import driftchute.fleet.Component;
 import driftchute.fleet.Tier;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -38,7 +38,7 @@
     /** Fraction of a lease time that is the minimum interval of requests for newly used destinations. */
     private static final int MIN_INTERVAL_DIVISOR = 15;
     /** Maximum number of remembered requests: those of one lease time, even if each destination has its own. */
-    private static final int MAX_SENT = 256;
+    private static final int MAX_REMEMBERED_REQUESTS = 256;
     /** Time without use after which a destination is forgotten, us. */
     private static final long FORGET_AFTER_US = 60_000_000;
     /** Interval of checks while a share is valid, us. An increase takes effect one call interval after the grant. */
@@ -80,7 +80,8 @@
      *
      * @param seed source of randomness, different for each process
      */
-    public RateLeases(final Tier tier, final FleetConfig block, final LeasedRole role, final long seed, final EventLog events) {
+    public RateLeases(
+            final Tier tier, final FleetConfig block, final LeasedRole role, final long seed, final EventLog events) {
         this(tier, block, role, seed, events, new RateAllocator(tier.size(), block));
     }
 
@@ -121,8 +122,13 @@
             }
             used.add(destination);
             destinations
-                    .computeIfAbsent(destination, unused -> new DestinationLeases(nowUs, ownReservedShare, leaseUs, leaseUs / 2))
-                    .onReport(nowUs, plausible(report.limit()), plausible(report.callsPerSecond()), Math.max(0, report.waitingCalls()));
+                    .computeIfAbsent(
+                            destination, unused -> new DestinationLeases(nowUs, ownReservedShare, leaseUs, leaseUs / 2))
+                    .onReport(
+                            nowUs,
+                            plausible(report.limit()),
+                            plausible(report.callsPerSecond()),
+                            Math.max(0, report.waitingCalls()));
         }
         destinations.forEach((destination, leases) -> {
             if (!used.contains(destination)) {
@@ -212,12 +218,16 @@
         final Optional<LeasedRole.Holder> known = role.holder(now);
         final boolean eager =
                 !known.equals(holder) || demands.stream().anyMatch(demand -> !requested.contains(demand.destination()));
-        if (known.isPresent() && !demands.isEmpty() && nowUs >= (eager ? lastRequestUs + leaseUs / MIN_INTERVAL_DIVISOR : nextRequestUs)) {
+        if (known.isPresent()
+                && !demands.isEmpty()
+                && nowUs >= (eager ? lastRequestUs + leaseUs / MIN_INTERVAL_DIVISOR : nextRequestUs)) {
             holder = known;
             sendRequests(now, known.get(), demands, out);
         }
-        final boolean checksOften = !demands.isEmpty() || destinations.values().stream().anyMatch(each -> each.hasLease(nowUs));
-        return Math.min(allocator.nextUs(nowUs), nowUs + (checksOften ? CHECK_INTERVAL_US : leaseUs / REQUESTS_PER_LEASE));
+        final boolean checksOften =
+                !demands.isEmpty() || destinations.values().stream().anyMatch(each -> each.hasLease(nowUs));
+        return Math.min(
+                allocator.nextUs(nowUs), nowUs + (checksOften ? CHECK_INTERVAL_US : leaseUs / REQUESTS_PER_LEASE));
     }
 
     /** The demands to send: all present ones, and once more those that have ended. */
@@ -232,10 +242,16 @@
         return demands;
     }
 
-    private void sendRequests(final ClockReading now, final LeasedRole.Holder to, final List<LeaseRequest.Demand> demands, final Outbox out) {
+    private void sendRequests(
+            final ClockReading now,
+            final LeasedRole.Holder to,
+            final List<LeaseRequest.Demand> demands,
+            final Outbox out) {
         final long nowUs = now.monoUs();
         lastRequestUs = nowUs;
-        final int requests = destinations.values().stream().anyMatch(each -> each.hasLease(nowUs)) ? REQUESTS_PER_LEASE : REQUESTS_WITHOUT_SHARE;
+        final int requests = destinations.values().stream().anyMatch(each -> each.hasLease(nowUs))
+                ? REQUESTS_PER_LEASE
+                : REQUESTS_WITHOUT_SHARE;
         nextRequestUs = nowUs + (long) (leaseUs / requests * (1 + JITTER * (2 * random.nextDouble() - 1)));
         requested.clear();
         sentRequests.values().removeIf(old -> old.atUs() <= nowUs - leaseUs);
@@ -243,12 +259,12 @@
             seq = (now.wallMs() & MAX_WALL_MS) << RANDOM_BITS | random.nextInt(1 << RANDOM_BITS);
         }
         List<LeaseRequest.Demand> batch = new ArrayList<>();
-        int freeBytes = LeaseRequest.MAX_ASKS;
+        int freeBytes = LeaseRequest.MAX_DEMANDS_BYTES;
         for (final LeaseRequest.Demand demand : demands) {
             if (demand.size() > freeBytes) {
                 send(nowUs, to, batch, out);
                 batch = new ArrayList<>();
-                freeBytes = LeaseRequest.MAX_ASKS;
+                freeBytes = LeaseRequest.MAX_DEMANDS_BYTES;
             }
             batch.add(demand);
             freeBytes -= demand.size();
@@ -259,10 +275,11 @@
         send(nowUs, to, batch, out);
     }
 
-    private void send(final long nowUs, final LeasedRole.Holder to, final List<LeaseRequest.Demand> demands, final Outbox out) {
+    private void send(
+            final long nowUs, final LeasedRole.Holder to, final List<LeaseRequest.Demand> demands, final Outbox out) {
         seq++;
         sentRequests.put(seq, new SentRequest(nowUs, to));
-        if (sentRequests.size() > MAX_SENT) {
+        if (sentRequests.size() > MAX_REMEMBERED_REQUESTS) {
             sentRequests.remove(sentRequests.keySet().iterator().next());
         }
         out.send(to.courier(), new LeaseRequest(seq, leaseMs, LimitShares.atLeast(reservedShare), demands));
--- a/src/main/java/driftchute/fleet/session/Baseline.java
+++ b/src/main/java/driftchute/fleet/session/Baseline.java
@@ -49,8 +49,9 @@
         final LruMap<LastCall> ends = destinations.get(destination);
         int others = 0;
         int succeeded = 0;
-        for (final Map.Entry<Long, LastCall> end :
-                ends == null ? Map.<Long, LastCall>of().entrySet() : ends.entries().entrySet()) {
+        for (final Map.Entry<Long, LastCall> end : ends == null
+                ? Map.<Long, LastCall>of().entrySet()
+                : ends.entries().entrySet()) {
             if (!sessions.contains(end.getKey()) && nowUs - end.getValue().us() < staleUs) {
                 others++;
                 succeeded += end.getValue().succeeded() ? 1 : 0;
--- a/src/main/java/driftchute/fleet/session/CallOutcome.java
+++ b/src/main/java/driftchute/fleet/session/CallOutcome.java
@@ -38,12 +38,13 @@
      * One session's messages in a call.
      *
      * @param messages number of messages, 1 or more
-     * @param handedInUs when the first of them was accepted, monotonic us of this process
-     * @param largestBody size of the largest body, bytes
+     * @param acceptedUs when the first of them was accepted, monotonic us of this process
+     * @param largestBodyBytes size of the largest body, bytes
      * @param retried number of them that were submitted again after no answer
      * @param effect the effect of their class
      */
-    public record Share(long session, int messages, long acceptedUs, int largestBodyBytes, int retried, Effect effect) {}
+    public record Share(
+            long session, int messages, long acceptedUs, int largestBodyBytes, int retried, Effect effect) {}
 
     /**
      * Checks the shares.
--- a/src/main/java/driftchute/fleet/session/Counters.java
+++ b/src/main/java/driftchute/fleet/session/Counters.java
@@ -8,14 +8,14 @@
  * What one process of one courier has seen of a session within an epoch. Each figure only grows. Calls and merged calls
  * differ in whether another session's messages were in them.
  *
- * @param life generation of that courier's process, which grows with each start; later figures replace earlier ones
- * @param calls counted calls that carried this session alone
- * @param harms those of them that failed
- * @param merged merged calls that succeeded, and {@code mergedHarms}
- * @param mergedHarms searches for a harmful session that ended with this one among the last suspects, unproven
- * @param dependent calls whose message arrived right after the previous one's end, several times in a row
- * @param retried calls with a message that was submitted again after no answer
- * @param large calls with a body near the limit
+ * @param processGeneration generation of that courier's process, which grows with each start; later figures replace earlier ones
+ * @param ownCalls counted calls that carried this session alone
+ * @param failedCalls those of them that failed
+ * @param mergedCalls merged calls that succeeded, and {@code mergedFailures}
+ * @param mergedFailures searches for a harmful session that ended with this one among the last suspects, unproven
+ * @param dependentCalls calls whose message arrived right after the previous one's end, several times in a row
+ * @param retriedCalls calls with a message that was submitted again after no answer
+ * @param largeCalls calls with a body near the limit
  * @param effects bit set of the effects of its classes
  */
 record Counters(
@@ -78,12 +78,28 @@
 
     Counters plusCall(final boolean harm) {
         return new Counters(
-                processGeneration, ownCalls + 1, failedCalls + (harm ? 1 : 0), mergedCalls, mergedFailures, dependentCalls, retriedCalls, largeCalls, effects);
+                processGeneration,
+                ownCalls + 1,
+                failedCalls + (harm ? 1 : 0),
+                mergedCalls,
+                mergedFailures,
+                dependentCalls,
+                retriedCalls,
+                largeCalls,
+                effects);
     }
 
     Counters plusMerged(final boolean harm) {
         return new Counters(
-                processGeneration, ownCalls, failedCalls, mergedCalls + 1, mergedFailures + (harm ? 1 : 0), dependentCalls, retriedCalls, largeCalls, effects);
+                processGeneration,
+                ownCalls,
+                failedCalls,
+                mergedCalls + 1,
+                mergedFailures + (harm ? 1 : 0),
+                dependentCalls,
+                retriedCalls,
+                largeCalls,
+                effects);
     }
 
     /** Adds one call's properties. */
@@ -114,7 +130,9 @@
 
     void write(final ByteBuffer into) {
         into.put((byte) effects);
-        for (final long value : new long[] {ownCalls, failedCalls, mergedCalls, mergedFailures, dependentCalls, retriedCalls, largeCalls}) {
+        for (final long value :
+                new long[] {ownCalls, failedCalls, mergedCalls, mergedFailures, dependentCalls, retriedCalls, largeCalls
+                }) {
             Varint.put(into, value);
         }
     }
--- a/src/main/java/driftchute/fleet/session/CountersMessage.java
+++ b/src/main/java/driftchute/fleet/session/CountersMessage.java
@@ -30,7 +30,8 @@
 
     @Override
     public int size() {
-        return Varint.size(processGeneration) + rows.stream().mapToInt(Row::size).sum();
+        return Varint.size(processGeneration)
+                + rows.stream().mapToInt(Row::size).sum();
     }
 
     @Override
@@ -65,6 +66,6 @@
 
     /** Maximum size of rows in a datagram that has {@code left} bytes for this message with its prefix. */
     static int room(final long processGeneration, final int left) {
-        return Math.min(left - DemotionGossip.PREFIX_BYTES, FrameCodec.MAX_BODY) - Varint.size(processGeneration);
+        return Math.min(left - DemotionGossip.PREFIX_BYTES, FrameCodec.MAX_BODY_BYTES) - Varint.size(processGeneration);
     }
 }
--- a/src/main/java/driftchute/fleet/session/DemotionGossip.java
+++ b/src/main/java/driftchute/fleet/session/DemotionGossip.java
@@ -1,7 +1,7 @@
 package driftchute.fleet.session;
 
-import driftchute.fleet.Message;
 import driftchute.fleet.ClockReading;
+import driftchute.fleet.Message;
 import driftchute.fleet.Outbox;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -24,7 +24,7 @@
     private static final long FIRST_WAIT_US = 100_000;
 
     private static final int MAX_TRIES = 7;
-    private static final int MAX = 256;
+    private static final int MAX_DEMOTIONS = 256;
     /** Number of times a received demotion is gossiped to each other courier. */
     private static final int GOSSIPS_PER_PEER = 2;
 
@@ -47,15 +47,15 @@
 
     private final int self;
     private final int couriers;
-    private final LruMap<PendingDemotion> own = new LruMap<>(MAX);
-    private final LruMap<PendingDemotion> received = new LruMap<>(MAX);
+    private final LruMap<PendingDemotion> own = new LruMap<>(MAX_DEMOTIONS);
+    private final LruMap<PendingDemotion> received = new LruMap<>(MAX_DEMOTIONS);
 
     DemotionGossip(final int self, final int couriers) {
         this.self = self;
         this.couriers = couriers;
     }
 
-    /** This courier demoted a session; {@link #send} is due. */
+    /** This courier demoted a session; {@link #sendDue} is due. */
     void start(final ClockReading now, final long session, final int epoch) {
         own.put(session, new PendingDemotion(epoch, couriers, self, now.monoUs()));
     }
@@ -80,7 +80,9 @@
     /** Sends what is due; returns when the next is due, monotonic us. */
     long sendDue(final ClockReading now, final Outbox out) {
         long next = Long.MAX_VALUE;
-        for (final Iterator<Map.Entry<Long, PendingDemotion>> it = own.entries().entrySet().iterator(); it.hasNext(); ) {
+        for (final Iterator<Map.Entry<Long, PendingDemotion>> it =
+                        own.entries().entrySet().iterator();
+                it.hasNext(); ) {
             final Map.Entry<Long, PendingDemotion> one = it.next();
             final PendingDemotion demotion = one.getValue();
             if (demotion.nextUs <= now.monoUs()) {
@@ -101,7 +103,9 @@
     List<Message> gossip(final int peer, final int maxBytes) {
         final List<Message> messages = new ArrayList<>();
         int freeBytes = maxBytes;
-        for (final Iterator<Map.Entry<Long, PendingDemotion>> it = received.entries().entrySet().iterator(); it.hasNext(); ) {
+        for (final Iterator<Map.Entry<Long, PendingDemotion>> it =
+                        received.entries().entrySet().iterator();
+                it.hasNext(); ) {
             final Map.Entry<Long, PendingDemotion> one = it.next();
             final PendingDemotion demotion = one.getValue();
             if (demotion.missing.isEmpty()) {
--- a/src/main/java/driftchute/fleet/session/DemotionMessage.java
+++ b/src/main/java/driftchute/fleet/session/DemotionMessage.java
@@ -6,7 +6,7 @@
 import java.nio.ByteBuffer;
 
 /**
- * A session's epoch, sent because of a demotion ({@code heard} false: asks for an answer) or as the answer.
+ * A session's epoch, sent because of a demotion ({@code isAnswer} false: asks for an answer) or as the answer.
  *
  * @param epoch 1 to 2^20
  */
--- a/src/main/java/driftchute/fleet/session/GroupTesting.java
+++ b/src/main/java/driftchute/fleet/session/GroupTesting.java
@@ -26,7 +26,7 @@
      * Each search from which a session came out unproven doubles them, up to 64: one that spoils a tenth passes once in
      * 850.
      */
-    private static final int MAX_STRIKES = 4;
+    private static final int MAX_UNPROVEN_SEARCHES = 4;
     /**
      * Successful calls after which one such search is forgotten: a third of the mean distance of two failures at a base
      * error rate of 1%.
@@ -162,7 +162,7 @@
             if (++suspect.successes >= CALLS_TO_CLEAR << (past == null ? 0 : past.count)) {
                 suspects.remove(session);
                 final UnprovenSearches now = unprovenSearches.use(session, unused -> new UnprovenSearches());
-                now.count = Math.min(MAX_STRIKES, now.count + 1);
+                now.count = Math.min(MAX_UNPROVEN_SEARCHES, now.count + 1);
                 now.successes = 0;
                 if (suspect.failedTogether > 1 && suspect.failedTogether <= LAST_SUSPECTS) {
                     unproven.add(session);
--- a/src/main/java/driftchute/fleet/session/LruMap.java
+++ b/src/main/java/driftchute/fleet/session/LruMap.java
@@ -15,7 +15,7 @@
     /**
      * Creates the map.
      *
-     * @param gone called with each evicted value
+     * @param onEvicted called with each evicted value
      */
     LruMap(final int maxSize, final BiConsumer<Long, V> onEvicted) {
         this.maxSize = maxSize;
--- a/src/main/java/driftchute/fleet/session/SessionClassifier.java
+++ b/src/main/java/driftchute/fleet/session/SessionClassifier.java
@@ -23,11 +23,12 @@
     /** Log-likelihood that a failed call adds, and that a successful call subtracts (Wald 1945). */
     private static final double FAILURE_LOG_LIKELIHOOD = Math.log(HARMFUL_FAILURE_RATE / HEALTHY_FAILURE_RATE);
 
-    private static final double SUCCESS_LOG_LIKELIHOOD = Math.log((1 - HEALTHY_FAILURE_RATE) / (1 - HARMFUL_FAILURE_RATE));
+    private static final double SUCCESS_LOG_LIKELIHOOD =
+            Math.log((1 - HEALTHY_FAILURE_RATE) / (1 - HARMFUL_FAILURE_RATE));
     /** A lower bound on the failure rate of merged calls above this demotes the session, from the second failure on. */
-    private static final double MAX_MERGED_HARM = 0.05;
+    private static final double MAX_MERGED_FAILURE_RATE = 0.05;
 
-    private static final int MIN_MERGED_HARMS = 2;
+    private static final int MIN_MERGED_FAILURES = 2;
     /**
      * Thresholds double with each epoch, up to 32 times: a session that was demoted often needs 1,600 successful calls.
      */
@@ -36,7 +37,7 @@
      * Maximum share of a threshold that another courier's evidence can provide: two couriers have to agree, or this one
      * has to see it itself.
      */
-    private static final double MAX_WORD = 0.5;
+    private static final double MAX_SHARE_BY_OTHER = 0.5;
     /** A property that occurs in at least one of so many calls is typical of the session. */
     private static final int DEPENDENT_ONE_IN = 10;
 
@@ -81,8 +82,9 @@
         for (final var of : state.byCourier().entrySet()) {
             final Counters counters = of.getValue();
             final long harms = counters.failedCalls() + counters.mergedFailures();
-            final double evidence = harms * FAILURE_LOG_LIKELIHOOD - (counters.ownCalls() + counters.mergedCalls() - harms) * SUCCESS_LOG_LIKELIHOOD;
-            score += of.getKey() == self ? evidence : Math.max(evidence, -MAX_WORD * threshold);
+            final double evidence = harms * FAILURE_LOG_LIKELIHOOD
+                    - (counters.ownCalls() + counters.mergedCalls() - harms) * SUCCESS_LOG_LIKELIHOOD;
+            score += of.getKey() == self ? evidence : Math.max(evidence, -MAX_SHARE_BY_OTHER * threshold);
         }
         return score <= -threshold;
     }
@@ -90,8 +92,8 @@
     /** True if merged calls with it fail too often, although none of its messages was proven to be the cause. */
     static boolean harmsMergedCalls(final SessionState state) {
         final Counters all = sum(state);
-        return all.mergedFailures() >= MIN_MERGED_HARMS
-                && WilsonInterval.lower(all.mergedFailures(), all.mergedCalls()) > MAX_MERGED_HARM;
+        return all.mergedFailures() >= MIN_MERGED_FAILURES
+                && WilsonInterval.lower(all.mergedFailures(), all.mergedCalls()) > MAX_MERGED_FAILURE_RATE;
     }
 
     /** The sum of all couriers' counters. */
--- a/src/main/java/driftchute/fleet/session/Sessions.java
+++ b/src/main/java/driftchute/fleet/session/Sessions.java
@@ -1,11 +1,11 @@
 package driftchute.fleet.session;
 
-import driftchute.fleet.EventLog;
-import driftchute.fleet.Message;
 import driftchute.fleet.ClockReading;
-import driftchute.fleet.Outbox;
 import driftchute.fleet.Component;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.GossipSource;
+import driftchute.fleet.Message;
+import driftchute.fleet.Outbox;
 import driftchute.fleet.Tier;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,11 +25,11 @@
      */
     static final int MAX_SESSIONS = 4096;
     /** Maximum number of epochs of sessions that are no longer, or not yet, stored. */
-    private static final int MAX_FORGOTTEN = 4096;
+    private static final int MAX_EVICTED_EPOCHS = 4096;
     /** Minimum number of own calls for a courier's counters to be worth sending. */
     private static final int MIN_CALLS_TO_SEND = 8;
     /** Maximum number of sessions examined for one datagram; some may have expired meanwhile. */
-    private static final int MAX_LOOKED_AT = 64;
+    private static final int MAX_EXAMINED = 64;
     /**
      * A message that arrives this soon after the previous one's end, us, so many times in a row, depends on it: a local
      * round trip.
@@ -62,7 +62,7 @@
     private final long processGeneration;
     private final long staleUs;
     private final EventLog events;
-    private final LruMap<Integer> evictedEpochs = new LruMap<>(MAX_FORGOTTEN);
+    private final LruMap<Integer> evictedEpochs = new LruMap<>(MAX_EVICTED_EPOCHS);
     private final LruMap<SessionEntry> sessions = new LruMap<>(MAX_SESSIONS, this::onEvicted);
     private final TreeMap<Long, SessionEntry> toSend = new TreeMap<>();
     private final Map<Integer, Long> cursors = new HashMap<>();
@@ -74,11 +74,12 @@
     /**
      * Starts without evidence: every session is {@code OWN}.
      *
-     * @param life generation of this process, which grows with every start of this courier, 0 or more
+     * @param processGeneration generation of this process, which grows with every start of this courier, 0 or more
      * @param staleUs age at which evidence expires, us
      * @param seed for the search among suspects
      */
-    public Sessions(final Tier tier, final long processGeneration, final long staleUs, final long seed, final EventLog events) {
+    public Sessions(
+            final Tier tier, final long processGeneration, final long staleUs, final long seed, final EventLog events) {
         this.tier = tier;
         this.processGeneration = processGeneration;
         this.staleUs = staleUs;
@@ -101,7 +102,9 @@
     /** A session's class as this courier knows it. */
     public SessionClass classOf(final long session, final ClockReading now) {
         final SessionEntry entry = sessions.get(session);
-        return entry == null || now.monoUs() >= validUntilUs || !fresh(entry, now) ? SessionClass.OWN : entry.earnedClass;
+        return entry == null || now.monoUs() >= validUntilUs || !fresh(entry, now)
+                ? SessionClass.OWN
+                : entry.earnedClass;
     }
 
     private boolean fresh(final SessionEntry entry, final ClockReading now) {
@@ -227,7 +230,9 @@
                 record(
                         session,
                         entry,
-                        all.size() > 1 ? ownCounters(entry).plusMerged(false) : ownCounters(entry).plusCall(false));
+                        all.size() > 1
+                                ? ownCounters(entry).plusMerged(false)
+                                : ownCounters(entry).plusCall(false));
             }
         }
         all.forEach(session -> baseline.onCallEnded(call.destination(), session, true, now.monoUs()));
@@ -267,7 +272,8 @@
         }
     }
 
-    private void demote(final ClockReading now, final long session, final SessionEntry entry, final String why, final Outbox out) {
+    private void demote(
+            final ClockReading now, final long session, final SessionEntry entry, final String why, final Outbox out) {
         final int epoch = Math.min(SessionState.MAX_EPOCH, entry.state.epoch() + 1);
         final Counters all = SessionClassifier.sum(entry.state);
         events.event(
@@ -380,19 +386,20 @@
     }
 
     @Override
-    public List<Message> gossip(final ClockReading now, final int peer, final int room) {
-        final List<Message> riding = new ArrayList<>(gossip.gossip(peer, room));
-        int left = room
-                - riding.stream()
+    public List<Message> gossip(final ClockReading now, final int peer, final int maxBytes) {
+        final List<Message> messages = new ArrayList<>(gossip.gossip(peer, maxBytes));
+        int freeBytes = maxBytes
+                - messages.stream()
                         .mapToInt(message -> message.size() + DemotionGossip.PREFIX_BYTES)
                         .sum();
-        left = CountersMessage.room(processGeneration, left);
+        freeBytes = CountersMessage.room(processGeneration, freeBytes);
         final List<CountersMessage.Row> rows = new ArrayList<>();
         final long from = cursors.getOrDefault(peer, Long.MIN_VALUE);
         final List<Map.Entry<Long, SessionEntry>> window = new ArrayList<>();
         for (final Map<Long, SessionEntry> part : List.of(toSend.tailMap(from, false), toSend.headMap(from, true))) {
-            for (final Iterator<Map.Entry<Long, SessionEntry>> it = part.entrySet().iterator();
-                    it.hasNext() && window.size() < MAX_LOOKED_AT; ) {
+            for (final Iterator<Map.Entry<Long, SessionEntry>> it =
+                            part.entrySet().iterator();
+                    it.hasNext() && window.size() < MAX_EXAMINED; ) {
                 window.add(it.next());
             }
         }
@@ -402,17 +409,18 @@
                 toSend.remove(one.getKey());
                 continue;
             }
-            final CountersMessage.Row row = new CountersMessage.Row(one.getKey(), entry.state.epoch(), ownCounters(entry));
-            if (row.size() > left) {
+            final CountersMessage.Row row =
+                    new CountersMessage.Row(one.getKey(), entry.state.epoch(), ownCounters(entry));
+            if (row.size() > freeBytes) {
                 break;
             }
-            left -= row.size();
+            freeBytes -= row.size();
             rows.add(row);
             cursors.put(peer, one.getKey());
         }
         if (!rows.isEmpty()) {
-            riding.add(new CountersMessage(processGeneration, rows));
+            messages.add(new CountersMessage(processGeneration, rows));
         }
-        return riding;
+        return messages;
     }
 }
--- a/src/main/java/driftchute/fleet/shared/RoleLease.java
+++ b/src/main/java/driftchute/fleet/shared/RoleLease.java
@@ -1,7 +1,7 @@
 package driftchute.fleet.shared;
 
-import driftchute.fleet.LeasedRole;
 import driftchute.fleet.ClockReading;
+import driftchute.fleet.LeasedRole;
 import driftchute.fleet.lease.RoleLeases;
 import java.util.Optional;
 import java.util.OptionalLong;
--- a/src/main/java/driftchute/fleet/shared/SharedState.java
+++ b/src/main/java/driftchute/fleet/shared/SharedState.java
@@ -1,17 +1,17 @@
 package driftchute.fleet.shared;
 
 import driftchute.Courier;
-import driftchute.fleet.FrameCodec;
-import driftchute.fleet.EventLog;
-import driftchute.fleet.FleetConfig;
 import driftchute.fleet.ClockReading;
 import driftchute.fleet.ControlPlane;
+import driftchute.fleet.EventLog;
+import driftchute.fleet.FleetConfig;
+import driftchute.fleet.FrameCodec;
 import driftchute.fleet.Tier;
 import driftchute.fleet.lease.RoleLeases;
 import driftchute.fleet.membership.Membership;
 import driftchute.fleet.ration.RateLeases;
-import driftchute.fleet.verdict.VerdictTiming;
 import driftchute.fleet.verdict.HealthVerdicts;
+import driftchute.fleet.verdict.VerdictTiming;
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongConsumer;
@@ -44,7 +44,7 @@
      *
      * @param seed the only source of randomness
      * @param incarnation one more than the last one it used
-     * @param keep called with each higher incarnation before a message with it is sent
+     * @param storeIncarnation called with each higher incarnation before a message with it is sent
      * @param sender sends the datagrams
      */
     public SharedState(
@@ -59,8 +59,10 @@
             final ControlPlane.Sender sender) {
         this.reservedShare = block.reserve();
         this.tier = tier;
-        membership = new Membership(tier, block.probeMs() * US_PER_MS, seed, incarnation, start, events, storeIncarnation);
-        roleLeases = new RoleLeases(tier, ROLE_NAMES, block.leaseMs() * US_PER_MS, block.driftPpm(), seed + 1, start, events);
+        membership =
+                new Membership(tier, block.probeMs() * US_PER_MS, seed, incarnation, start, events, storeIncarnation);
+        roleLeases = new RoleLeases(
+                tier, ROLE_NAMES, block.leaseMs() * US_PER_MS, block.driftPpm(), seed + 1, start, events);
         rateLeases = new RateLeases(tier, block, new RoleLease(roleLeases, ALLOCATOR), seed + 2, events);
         verdicts = new HealthVerdicts(
                 tier,
@@ -128,7 +130,8 @@
             text.append(", ")
                     .append(ROLE_NAMES.get(role))
                     .append(' ')
-                    .append(roleLeases.holder(now, role)
+                    .append(roleLeases
+                            .holder(now, role)
                             .map(holding -> holding.courier() + " by token " + holding.token())
                             .orElse("none"));
         }
--- a/src/main/java/driftchute/fleet/verdict/DestinationEvidence.java
+++ b/src/main/java/driftchute/fleet/verdict/DestinationEvidence.java
@@ -24,7 +24,9 @@
 
     /** No evidence. */
     DestinationEvidence(final long destination) {
-        this(new RecoveryEvidence(destination, RecoveryEvidence.Delivery.NEVER, RecoveryEvidence.Delivery.NEVER), Stream.empty());
+        this(
+                new RecoveryEvidence(destination, RecoveryEvidence.Delivery.NEVER, RecoveryEvidence.Delivery.NEVER),
+                Stream.empty());
     }
 
     private DestinationEvidence(final RecoveryEvidence back, final Stream<FailureReport> all) {
@@ -32,22 +34,26 @@
         all.forEach(report -> reports.merge(
                 report.reporter(), report, (one, other) -> FailureReport.ORDER.compare(one, other) >= 0 ? one : other));
         while (reports.size() > MAX_REPORTS) {
-            reports.remove(
-                    reports.values().stream().min(FailureReport.ORDER).orElseThrow().reporter());
+            reports.remove(reports.values().stream()
+                    .min(FailureReport.ORDER)
+                    .orElseThrow()
+                    .reporter());
         }
     }
 
     /** The union of both. */
     DestinationEvidence merge(final DestinationEvidence other) {
         return new DestinationEvidence(
-                recovery.merge(other.recovery), Stream.concat(reports.values().stream(), other.reports.values().stream()));
+                recovery.merge(other.recovery),
+                Stream.concat(reports.values().stream(), other.reports.values().stream()));
     }
 
     /** This evidence with one more entry. */
     DestinationEvidence with(final EvidenceEntry entry) {
         return entry instanceof RecoveryEvidence seen
                 ? new DestinationEvidence(recovery.merge(seen), reports.values().stream())
-                : new DestinationEvidence(recovery, Stream.concat(reports.values().stream(), Stream.of((FailureReport) entry)));
+                : new DestinationEvidence(
+                        recovery, Stream.concat(reports.values().stream(), Stream.of((FailureReport) entry)));
     }
 
     /** Without entries that are too old, or in the future because the wall clock was set back. */
@@ -59,7 +65,8 @@
 
     /** The entries, each in its own slot. */
     Stream<EvidenceEntry> entries() {
-        return Stream.concat(recovery.served().ms() > 0 ? Stream.of(recovery) : Stream.empty(), reports.values().stream());
+        return Stream.concat(
+                recovery.served().ms() > 0 ? Stream.of(recovery) : Stream.empty(), reports.values().stream());
     }
 
     /** That courier's report, or null. */
@@ -83,7 +90,10 @@
     /** The assessment at a time. */
     Assessment assess(final long nowMs, final VerdictTiming terms) {
         final List<FailureReport> validReports = validReports(nowMs, terms);
-        final long closedUntilMs = validReports.stream().mapToLong(FailureReport::closedUntilMs).max().orElse(0);
+        final long closedUntilMs = validReports.stream()
+                .mapToLong(FailureReport::closedUntilMs)
+                .max()
+                .orElse(0);
         final long coldUntilMs = recovery.recovered().ms() + terms.warmUpMs();
         if (validReports.size() >= REPORTS_FOR_OUTAGE || closedUntilMs > 0) {
             return reportOf(TierHealth.DOWN, validReports, closedUntilMs, terms);
@@ -101,7 +111,11 @@
         return validReports.isEmpty() ? Assessment.HEALTHY : reportOf(TierHealth.SUSPECTED, validReports, 0, terms);
     }
 
-    private Assessment reportOf(final TierHealth health, final List<FailureReport> validReports, final long closedUntilMs, final VerdictTiming terms) {
+    private Assessment reportOf(
+            final TierHealth health,
+            final List<FailureReport> validReports,
+            final long closedUntilMs,
+            final VerdictTiming terms) {
         final List<Long> made = validReports.stream()
                 .map(FailureReport::createdMs)
                 .sorted(Comparator.reverseOrder())
@@ -114,7 +128,8 @@
                 .mapToLong(FailureReport::createdMs)
                 .max()
                 .orElse(0);
-        final long sinceMs = validReports.stream().mapToLong(FailureReport::sinceMs).min().orElse(0);
+        final long sinceMs =
+                validReports.stream().mapToLong(FailureReport::sinceMs).min().orElse(0);
         return new Assessment(
                 health,
                 Math.max(sinceMs, recovery.recovered().ms()),
@@ -127,7 +142,9 @@
 
     @Override
     public boolean equals(final Object other) {
-        return other instanceof DestinationEvidence that && reports.equals(that.reports) && recovery.equals(that.recovery);
+        return other instanceof DestinationEvidence that
+                && reports.equals(that.reports)
+                && recovery.equals(that.recovery);
     }
 
     @Override
--- a/src/main/java/driftchute/fleet/verdict/EvidenceGossip.java
+++ b/src/main/java/driftchute/fleet/verdict/EvidenceGossip.java
@@ -76,8 +76,8 @@
         Collections.shuffle(others, random);
         final int peers = Math.min(FAN_OUT, others.size());
         others.subList(0, peers).forEach(peer -> entries.forEach(entry -> out.send(peer, entry)));
-        entries.forEach(
-                entry -> sendingsLeft.computeIfPresent(entry.key(), (key, count) -> count > FAN_OUT ? count - FAN_OUT : null));
+        entries.forEach(entry ->
+                sendingsLeft.computeIfPresent(entry.key(), (key, count) -> count > FAN_OUT ? count - FAN_OUT : null));
     }
 
     private List<EvidenceEntry> newestEntries() {
--- a/src/main/java/driftchute/fleet/verdict/EvidenceStore.java
+++ b/src/main/java/driftchute/fleet/verdict/EvidenceStore.java
@@ -34,7 +34,8 @@
         if (before == null && byDestination.size() >= MAX_DESTINATIONS) {
             return false;
         }
-        final DestinationEvidence after = (before == null ? new DestinationEvidence(entry.destination()) : before).with(entry);
+        final DestinationEvidence after =
+                (before == null ? new DestinationEvidence(entry.destination()) : before).with(entry);
         if (after.equals(before)) {
             return false;
         }
@@ -45,7 +46,9 @@
 
     /** Drops expired entries. */
     void expire(final long nowMs) {
-        for (final Iterator<Map.Entry<Long, DestinationEvidence>> each = byDestination.entrySet().iterator(); each.hasNext(); ) {
+        for (final Iterator<Map.Entry<Long, DestinationEvidence>> each =
+                        byDestination.entrySet().iterator();
+                each.hasNext(); ) {
             final Map.Entry<Long, DestinationEvidence> entry = each.next();
             final DestinationEvidence before = entry.getValue();
             if (before.entries().allMatch(one -> one.isTimely(nowMs, terms))) {
@@ -92,8 +95,9 @@
 
     /** The next entries that fit into so many bytes, cycling through all. */
     List<EvidenceEntry> window(final int maxBytes) {
-        final List<EvidenceEntry> all =
-                byDestination.values().stream().flatMap(DestinationEvidence::entries).toList();
+        final List<EvidenceEntry> all = byDestination.values().stream()
+                .flatMap(DestinationEvidence::entries)
+                .toList();
         final List<EvidenceEntry> window = new ArrayList<>();
         int freeBytes = maxBytes;
         while (window.size() < all.size()) {
--- a/src/main/java/driftchute/fleet/verdict/FailureReport.java
+++ b/src/main/java/driftchute/fleet/verdict/FailureReport.java
@@ -8,13 +8,20 @@
 /**
  * One courier's report, from its own calls only, that a destination is down. Times are wall-clock ms.
  *
- * @param madeMs its version: when it was made; grows with each report of that courier
- * @param lastMs its last failure there, at or before {@code madeMs}
- * @param sinceMs when the trouble began, at or before {@code lastMs}
- * @param failed number of failed calls since; 0 withdraws the report
- * @param shutMs until when the destination announced to be closed; 0 if it did not
+ * @param createdMs its version: when it was made; grows with each report of that courier
+ * @param lastFailureMs its last failure there, at or before {@code createdMs}
+ * @param sinceMs when the trouble began, at or before {@code lastFailureMs}
+ * @param failedCalls number of failed calls since; 0 withdraws the report
+ * @param closedUntilMs until when the destination announced to be closed; 0 if it did not
  */
-record FailureReport(long destination, int reporter, long createdMs, long lastFailureMs, long sinceMs, int failedCalls, long closedUntilMs)
+record FailureReport(
+        long destination,
+        int reporter,
+        long createdMs,
+        long lastFailureMs,
+        long sinceMs,
+        int failedCalls,
+        long closedUntilMs)
         implements EvidenceEntry {
     static final int TYPE = 0x40;
     /** Upper bound of the failure count; higher counts carry no information. */
@@ -76,8 +83,9 @@
         final long shutMs = Varint.get(body);
         // The differences are not negative, so an overflow shows as a negative time.
         if (reporter >= couriers || lastMs < 0 || sinceMs < 0 || failed > MAX_FAILED || shutMs - madeMs > staleMs) {
-            throw new MalformedMessageException("invalid report of courier " + reporter + " created " + madeMs + ", last failure "
-                    + lastMs + ", since " + sinceMs + ", failed " + failed + ", closed until " + shutMs);
+            throw new MalformedMessageException(
+                    "invalid report of courier " + reporter + " created " + madeMs + ", last failure " + lastMs
+                            + ", since " + sinceMs + ", failed " + failed + ", closed until " + shutMs);
         }
         return new FailureReport(destination, (int) reporter, madeMs, lastMs, sinceMs, (int) failed, shutMs);
     }
--- a/src/main/java/driftchute/fleet/verdict/HealthVerdicts.java
+++ b/src/main/java/driftchute/fleet/verdict/HealthVerdicts.java
@@ -2,13 +2,13 @@
 
 import driftchute.Courier;
 import driftchute.Courier.TierHealth;
-import driftchute.fleet.LeasedRole;
-import driftchute.fleet.EventLog;
-import driftchute.fleet.Message;
 import driftchute.fleet.ClockReading;
-import driftchute.fleet.Outbox;
 import driftchute.fleet.Component;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.GossipSource;
+import driftchute.fleet.LeasedRole;
+import driftchute.fleet.Message;
+import driftchute.fleet.Outbox;
 import driftchute.fleet.Tier;
 import java.util.HashMap;
 import java.util.List;
@@ -59,7 +59,12 @@
     private long refused;
 
     /** Starts without evidence. {@code seed} is the only source of randomness. */
-    public HealthVerdicts(final Tier tier, final VerdictTiming timing, final LeasedRole role, final long seed, final EventLog events) {
+    public HealthVerdicts(
+            final Tier tier,
+            final VerdictTiming timing,
+            final LeasedRole role,
+            final long seed,
+            final EventLog events) {
         final Random random = new Random(seed);
         this.tier = tier;
         this.timing = timing;
@@ -76,8 +81,11 @@
      */
     public void onReports(final ClockReading now, final List<Courier.DestinationReport> reports) {
         recordStart(now);
-        observations.keySet()
-                .retainAll(reports.stream().map(Courier.DestinationReport::destination).collect(Collectors.toSet()));
+        observations
+                .keySet()
+                .retainAll(reports.stream()
+                        .map(Courier.DestinationReport::destination)
+                        .collect(Collectors.toSet()));
         for (final Courier.DestinationReport report : reports) {
             if (report.destination() >= 0) {
                 update(now, report);
@@ -137,7 +145,12 @@
         if (!validReports.isEmpty() && validReports.stream().allMatch(report -> report.lastFailureMs() < servedMs)) {
             final RecoveryEvidence.Delivery delivery = new RecoveryEvidence.Delivery(servedMs, tier.self());
             final boolean wasDown = known.assess(now.wallMs(), timing).health() == TierHealth.DOWN;
-            add(now, new RecoveryEvidence(destination, delivery, wasDown ? delivery : known.recovery().recovered()));
+            add(
+                    now,
+                    new RecoveryEvidence(
+                            destination,
+                            delivery,
+                            wasDown ? delivery : known.recovery().recovered()));
         }
     }
 
@@ -148,7 +161,10 @@
         if (news) {
             gossip.add(
                     entry.key(),
-                    evidence.of(entry.destination()).assess(now.wallMs(), timing).health() != before);
+                    evidence.of(entry.destination())
+                                    .assess(now.wallMs(), timing)
+                                    .health()
+                            != before);
         }
         return news;
     }
@@ -270,7 +286,8 @@
                 .filter(destination -> !evidence.byDestination().containsKey(destination))
                 .toList()
                 .forEach(destination -> publish(now, destination, Assessment.HEALTHY));
-        evidence.byDestination().forEach((destination, known) -> publish(now, destination, known.assess(now.wallMs(), timing)));
+        evidence.byDestination()
+                .forEach((destination, known) -> publish(now, destination, known.assess(now.wallMs(), timing)));
     }
 
     private void publish(final ClockReading now, final long destination, final Assessment to) {
@@ -300,7 +317,8 @@
             final boolean same = to.health() == from.health() && to.sinceMs() == from.sinceMs();
             published.put(
                     destination,
-                    new PublishedVerdict(to, same ? before.sinceUs() : Math.min(now.monoUs(), monoUs(now, to.sinceMs()))));
+                    new PublishedVerdict(
+                            to, same ? before.sinceUs() : Math.min(now.monoUs(), monoUs(now, to.sinceMs()))));
         }
     }
 
@@ -313,7 +331,9 @@
                 new Courier.Verdict(
                         of.assessment().health(),
                         of.sinceUs(),
-                        of.assessment().closedUntilMs() == 0 ? 0 : monoUs(now, of.assessment().closedUntilMs()),
+                        of.assessment().closedUntilMs() == 0
+                                ? 0
+                                : monoUs(now, of.assessment().closedUntilMs()),
                         monoUs(now, of.assessment().expiresMs()),
                         isDown(of) ? probes.permitUntilUs(now, destination) : Long.MAX_VALUE)));
         return verdicts;
--- a/src/main/java/driftchute/fleet/verdict/LocalObservations.java
+++ b/src/main/java/driftchute/fleet/verdict/LocalObservations.java
@@ -10,7 +10,7 @@
      * Shorter waits come from a limit, whose spans are a second or two. Longer ones mean that the destination is
      * closed.
      */
-    private static final long MIN_SHUT_US = 2_500_000;
+    private static final long MIN_CLOSED_US = 2_500_000;
     /** Maximum reported age of a trouble, us; a greater one carries no information. */
     private static final long MAX_AGE_US = 86_400_000_000L;
 
@@ -26,8 +26,8 @@
     void update(final ClockReading now, final Courier.DestinationReport report) {
         final long nowUs = now.monoUs();
         final boolean down = report.circuit() == CircuitState.OPEN && report.troubleSinceUs() <= nowUs;
-        final boolean failedMore =
-                report.failedCalls() > failedCalls || report.troubleSinceUs() != troubleSinceUs && report.troubleSinceUs() <= nowUs;
+        final boolean failedMore = report.failedCalls() > failedCalls
+                || report.troubleSinceUs() != troubleSinceUs && report.troubleSinceUs() <= nowUs;
         if (failedMore || down && !isDown) {
             lastFailureUs = nowUs;
         }
@@ -36,7 +36,7 @@
         troubleSinceUs = report.troubleSinceUs();
         waitingCalls = report.waitingCalls();
         lastServedUs = Math.min(report.lastServedUs(), nowUs);
-        final boolean closed = report.closedUntilUs() - nowUs > MIN_SHUT_US;
+        final boolean closed = report.closedUntilUs() - nowUs > MIN_CLOSED_US;
         closedUntilUs = !down ? 0 : closed ? Math.max(closedUntilUs, report.closedUntilUs()) : closedUntilUs;
     }
 
@@ -66,11 +66,16 @@
 
     /** This as a report with the next version. */
     FailureReport report(
-            final ClockReading now, final long destination, final int self, final FailureReport before, final VerdictTiming terms) {
+            final ClockReading now,
+            final long destination,
+            final int self,
+            final FailureReport before,
+            final VerdictTiming terms) {
         final long madeMs = Math.max(now.wallMs(), before == null ? 0 : before.createdMs() + 1);
         final long lastMs = Math.min(madeMs, wallMs(now, lastFailureUs));
         final long sinceMs = Math.min(lastMs, wallMs(now, Math.max(troubleSinceUs, now.monoUs() - MAX_AGE_US)));
-        final long closedUntilMs = closedUntilUs == 0 ? 0 : Math.min(wallMs(now, closedUntilUs), madeMs + terms.staleMs());
+        final long closedUntilMs =
+                closedUntilUs == 0 ? 0 : Math.min(wallMs(now, closedUntilUs), madeMs + terms.staleMs());
         return new FailureReport(
                 destination,
                 self,
--- a/src/main/java/driftchute/fleet/verdict/ProbeCoordinator.java
+++ b/src/main/java/driftchute/fleet/verdict/ProbeCoordinator.java
@@ -1,9 +1,9 @@
 package driftchute.fleet.verdict;
 
 import driftchute.Courier.TierHealth;
-import driftchute.fleet.LeasedRole;
-import driftchute.fleet.EventLog;
 import driftchute.fleet.ClockReading;
+import driftchute.fleet.EventLog;
+import driftchute.fleet.LeasedRole;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
@@ -54,7 +54,8 @@
     }
 
     private long nextProbeAtUs(final ClockReading now, final long destination) {
-        return nextProbeUs.computeIfAbsent(destination, unused -> Math.max(activeFromUs, now.monoUs() + probeIntervalUs(0)));
+        return nextProbeUs.computeIfAbsent(
+                destination, unused -> Math.max(activeFromUs, now.monoUs() + probeIntervalUs(0)));
     }
 
     private long probeIntervalUs(final long ageUs) {
@@ -62,14 +63,19 @@
     }
 
     /** The reply to a request, or none if another courier holds the role. */
-    Optional<VerdictMessages.ProbeReply> reply(final ClockReading now, final int from, final VerdictMessages.ProbeRequest request, final Assessment assessment) {
+    Optional<VerdictMessages.ProbeReply> reply(
+            final ClockReading now,
+            final int from,
+            final VerdictMessages.ProbeRequest request,
+            final Assessment assessment) {
         if (!isCoordinator(now)) {
             return Optional.empty();
         }
         long afterMs = RETRY_DELAY_MS;
         if (assessment.health() == TierHealth.DOWN) {
             final long openUs = nextProbeAtUs(now, request.destination()) - now.monoUs();
-            afterMs = Math.max(0, Math.max(-Math.floorDiv(-openUs, US_PER_MS), assessment.closedUntilMs() - now.wallMs()));
+            afterMs = Math.max(
+                    0, Math.max(-Math.floorDiv(-openUs, US_PER_MS), assessment.closedUntilMs() - now.wallMs()));
             if (afterMs == 0) {
                 final long ageUs = Math.max(0, now.wallMs() - assessment.sinceMs()) * US_PER_MS;
                 nextProbeUs.put(request.destination(), now.monoUs() + probeIntervalUs(ageUs));
@@ -85,6 +91,7 @@
                         ageUs / US_PER_MS);
             }
         }
-        return Optional.of(new VerdictMessages.ProbeReply(request.destination(), request.number(), token.getAsLong(), afterMs));
+        return Optional.of(
+                new VerdictMessages.ProbeReply(request.destination(), request.number(), token.getAsLong(), afterMs));
     }
 }
--- a/src/main/java/driftchute/fleet/verdict/ProbeRequests.java
+++ b/src/main/java/driftchute/fleet/verdict/ProbeRequests.java
@@ -1,8 +1,8 @@
 package driftchute.fleet.verdict;
 
-import driftchute.fleet.LeasedRole;
-import driftchute.fleet.EventLog;
 import driftchute.fleet.ClockReading;
+import driftchute.fleet.EventLog;
+import driftchute.fleet.LeasedRole;
 import driftchute.fleet.Outbox;
 import java.util.HashMap;
 import java.util.Map;
@@ -103,7 +103,9 @@
             probe.permitted = true;
         } else {
             final long waitUs = Math.min(MAX_WAIT_US, Math.min(MAX_WAIT_US, answer.afterMs()) * US_PER_MS);
-            probe.nextUs = now.monoUs() + Math.max(REQUEST_INTERVAL_US, waitUs) + random.nextInt((int) REQUEST_INTERVAL_US / 2);
+            probe.nextUs = now.monoUs()
+                    + Math.max(REQUEST_INTERVAL_US, waitUs)
+                    + random.nextInt((int) REQUEST_INTERVAL_US / 2);
         }
     }
 
--- a/src/main/java/driftchute/fleet/verdict/RecoveryEvidence.java
+++ b/src/main/java/driftchute/fleet/verdict/RecoveryEvidence.java
@@ -8,7 +8,7 @@
  * Evidence that a destination serves. Times are wall-clock ms.
  *
  * @param served the latest delivered call that contradicts a report
- * @param back the latest one that ended an outage, not later than {@code served}; {@link Delivery#NEVER} if none
+ * @param recovered the latest one that ended an outage, not later than {@code served}; {@link Delivery#NEVER} if none
  */
 record RecoveryEvidence(long destination, Delivery served, Delivery recovered) implements EvidenceEntry {
     static final int TYPE = 0x41;
@@ -52,7 +52,8 @@
 
     /** Whether the trouble in a report was over by then. */
     boolean refutes(final FailureReport report, final long lateMs) {
-        return report.lastFailureMs() <= served.ms || report.sinceMs() <= recovered.ms && report.lastFailureMs() <= recovered.ms + lateMs;
+        return report.lastFailureMs() <= served.ms
+                || report.sinceMs() <= recovered.ms && report.lastFailureMs() <= recovered.ms + lateMs;
     }
 
     @Override
--- a/src/main/java/driftchute/node/ClientServer.java
+++ b/src/main/java/driftchute/node/ClientServer.java
@@ -61,9 +61,9 @@
     private static final int MAX_BODY_BYTES = 1 << 16;
     private static final int MAX_ID_CHARS = 128;
     /** Maximum number of complete requests queued on one connection. Further requests stay unread until then. */
-    private static final int MAX_QUEUED = 16;
+    private static final int MAX_QUEUED_REQUESTS = 16;
     /** Maximum size of all bodies that are being received or queued, over all connections, bytes. */
-    private static final int MAX_HELD_BYTES = 1 << 22;
+    private static final int MAX_BUFFERED_BODY_BYTES = 1 << 22;
     /** Maximum size of one read from a connection, bytes, so that a client that floods does not delay the others. */
     private static final int MAX_READ_BYTES = 1 << 14;
     /** Size of the send buffer, bytes. A larger one would long hide that a client does not read its answers. */
@@ -222,7 +222,8 @@
     void closeListener() {
         final EventLoop loop = listener.eventLoop();
         listener.deregister()
-                .addListener(done -> loop.schedule(this::acceptQueuedAndClose, DEREGISTER_DELAY_MS, TimeUnit.MILLISECONDS));
+                .addListener(
+                        done -> loop.schedule(this::acceptQueuedAndClose, DEREGISTER_DELAY_MS, TimeUnit.MILLISECONDS));
     }
 
     private void acceptQueuedAndClose() {
@@ -278,8 +279,7 @@
             Log.event(
                     "hung_up",
                     "msg",
-                    "before exit: closed " + idle + " idle connections, refused " + incomplete
-                            + " incomplete requests",
+                    "before exit: closed " + idle + " idle connections, refused " + incomplete + " incomplete requests",
                     "idle",
                     idle,
                     "incomplete",
@@ -301,7 +301,11 @@
             } else if (connection.stalledSinceUs <= nowUs - REQUEST_TIMEOUT_US) {
                 connection.closeNow();
             } else if (connection.isIdle()
-                    && connection.idleSinceUs() <= nowUs - (connection.hasSentRequest && !connection.refusing ? idleUs : REQUEST_TIMEOUT_US)) {
+                    && connection.idleSinceUs()
+                            <= nowUs
+                                    - (connection.hasSentRequest && !connection.refusing
+                                            ? idleUs
+                                            : REQUEST_TIMEOUT_US)) {
                 connection.readPending();
                 if (connection.isIdle()) {
                     connection.closeIdle();
@@ -312,11 +316,14 @@
 
     private void logClosedConnections(final long nowUs) {
         if (nowUs - capacityLoggedUs < CROWDED_LOG_INTERVAL_US
-                || slowRequests + acceptFailures == 0 && IntStream.of(closedForCapacity).sum() == 0) {
+                || slowRequests + acceptFailures == 0
+                        && IntStream.of(closedForCapacity).sum() == 0) {
             return;
         }
-        Log.info("of " + maxConnections + " client connections at most, closed for lack of capacity: " + closedForCapacity[0]
-                + " rejected, " + closedForCapacity[1] + " without any request, " + closedForCapacity[2] + " with an incomplete request, "
+        Log.info("of " + maxConnections + " client connections at most, closed for lack of capacity: "
+                + closedForCapacity[0]
+                + " rejected, " + closedForCapacity[1] + " without any request, " + closedForCapacity[2]
+                + " with an incomplete request, "
                 + closedForCapacity[3]
                 + " idle, " + closedForCapacity[ClientConnection.IN_USE] + " new; rejected as too slow: " + slowRequests
                 + "; failed to accept: " + acceptFailures);
@@ -352,7 +359,9 @@
      * yet.
      */
     private boolean dropLeastUseful(final ClientConnection newest) {
-        for (Optional<ClientConnection> least = findLeastUseful(newest); least.isPresent(); least = findLeastUseful(newest)) {
+        for (Optional<ClientConnection> least = findLeastUseful(newest);
+                least.isPresent();
+                least = findLeastUseful(newest)) {
             final boolean wasIdle = least.get().isIdle();
             if (wasIdle) {
                 least.get().readPending();
@@ -369,7 +378,8 @@
     private Optional<ClientConnection> findLeastUseful(final ClientConnection newest) {
         final long idleBeforeUs = clock.nowUs() - CROWDED_IDLE_TIMEOUT_US;
         return connections.stream()
-                .filter(connection -> connection != newest && connection.usefulness(idleBeforeUs) < ClientConnection.IN_USE)
+                .filter(connection ->
+                        connection != newest && connection.usefulness(idleBeforeUs) < ClientConnection.IN_USE)
                 .min(Comparator.comparingInt((ClientConnection connection) -> connection.usefulness(idleBeforeUs))
                         .thenComparingLong(ClientConnection::silentSinceUs));
     }
@@ -555,7 +565,7 @@
 
         @Override
         public boolean canDecode() {
-            return queue.size() < MAX_QUEUED && context.channel().isWritable();
+            return queue.size() < MAX_QUEUED_REQUESTS && context.channel().isWritable();
         }
 
         /** Stops reading from a client that does not read its answers, until it does. */
@@ -609,7 +619,7 @@
                     reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                     return;
                 }
-                if (bufferedBodyBytes + length > MAX_HELD_BYTES) {
+                if (bufferedBodyBytes + length > MAX_BUFFERED_BODY_BYTES) {
                     reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
                     return;
                 }
@@ -734,7 +744,8 @@
             final long validUntilUs = clock.nowUs() + lifeUs;
             currentId = id;
             host.offer(
-                    new JournaledMessage(id, messageClass.name(), key, destination, clock.wallUs() + lifeUs, request.body()),
+                    new JournaledMessage(
+                            id, messageClass.name(), key, destination, clock.wallUs() + lifeUs, request.body()),
                     validUntilUs,
                     new DeliveryService.Reply() {
                         @Override
@@ -768,8 +779,10 @@
                     || status.code() == UNAVAILABLE
                     || status.code() == INTERNAL_ERROR;
             refusing |= !trusted;
-            final boolean keepAlive = !refusing && HttpUtil.isKeepAlive(current.head()) && !isDraining() && !inputClosed;
-            final boolean isLast = !keepAlive && !mayHaveMoreRequests() || status.equals(HttpResponseStatus.BAD_REQUEST);
+            final boolean keepAlive =
+                    !refusing && HttpUtil.isKeepAlive(current.head()) && !isDraining() && !inputClosed;
+            final boolean isLast =
+                    !keepAlive && !mayHaveMoreRequests() || status.equals(HttpResponseStatus.BAD_REQUEST);
             current = null;
             currentId = null;
             idleFromUs = clock.nowUs();
--- a/src/main/java/driftchute/node/Config.java
+++ b/src/main/java/driftchute/node/Config.java
@@ -212,7 +212,8 @@
     static InetSocketAddress address(final String name, final String text) {
         final int colon = text.lastIndexOf(':');
         try {
-            final byte[] addressBytes = NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(0, colon)));
+            final byte[] addressBytes =
+                    NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(0, colon)));
             final int port = Integer.parseInt(text.substring(colon + 1));
             if (addressBytes != null && port >= 0 && port <= MAX_PORT) {
                 return new InetSocketAddress(InetAddress.getByAddress(addressBytes), port);
--- a/src/main/java/driftchute/node/DeliveryService.java
+++ b/src/main/java/driftchute/node/DeliveryService.java
@@ -1,8 +1,8 @@
 package driftchute.node;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import driftchute.DeliveryPolicy;
 import driftchute.Courier;
+import driftchute.DeliveryPolicy;
 import driftchute.node.fleet.FleetControlThread;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -84,7 +84,11 @@
         private boolean finished;
         private EndpointClient.Call call;
 
-        OpenMessage(final JournaledMessage journaled, final Courier.MessageClass messageClass, final long validUntilUs, final Reply reply) {
+        OpenMessage(
+                final JournaledMessage journaled,
+                final Courier.MessageClass messageClass,
+                final long validUntilUs,
+                final Reply reply) {
             this.journaled = journaled;
             this.resumed = reply == null;
             this.messageClass = messageClass;
@@ -145,7 +149,12 @@
     /** Longest decision pass since the last status line. Nothing else runs on the event loop during a pass. */
     private long longestPassUs;
 
-    DeliveryService(final Config config, final EventLoop loop, final Clock clock, final Journal journal, final OperatorOrders orders) {
+    DeliveryService(
+            final Config config,
+            final EventLoop loop,
+            final Clock clock,
+            final Journal journal,
+            final OperatorOrders orders) {
         this.config = config;
         this.loop = loop;
         this.clock = clock;
@@ -189,8 +198,8 @@
         }
         if (journal.hasPredecessors()) {
             Log.info("the predecessor process is still finishing its calls");
-            predecessorPoll =
-                    loop.scheduleWithFixedDelay(this::followPredecessors, PREDECESSOR_POLL_MS, PREDECESSOR_POLL_MS, TimeUnit.MILLISECONDS);
+            predecessorPoll = loop.scheduleWithFixedDelay(
+                    this::followPredecessors, PREDECESSOR_POLL_MS, PREDECESSOR_POLL_MS, TimeUnit.MILLISECONDS);
         }
         joinFleet();
         resumeNext();
@@ -210,7 +219,8 @@
 
     /** Resumes the next messages. The event loop polls its sockets between two turns of this. */
     private void resumeNext() {
-        final List<JournaledMessage> next = unresumed.values().stream().limit(RESUMED_PER_TURN).toList();
+        final List<JournaledMessage> next =
+                unresumed.values().stream().limit(RESUMED_PER_TURN).toList();
         next.forEach(journaled -> {
             unresumed.remove(journaled.id);
             resume(journaled);
@@ -321,9 +331,11 @@
     /** Reports to the decisions up to when the answers to the predecessor's calls are known. */
     private void updatePredecessorFreshness() {
         final long heardWallUs = journal.recordedUntilWallUs();
-        predecessorFreshUntilUs = heardWallUs == Long.MAX_VALUE ? heardWallUs : clock.fromWallUs(heardWallUs) + PREDECESSOR_FRESH_US;
+        predecessorFreshUntilUs =
+                heardWallUs == Long.MAX_VALUE ? heardWallUs : clock.fromWallUs(heardWallUs) + PREDECESSOR_FRESH_US;
         control.onPredecessorFresh(clock.nowUs(), predecessorFreshUntilUs);
-        final boolean isSilent = clock.nowUs() > predecessorFreshUntilUs && clock.nowUs() - predecessorFreshUntilUs > PREDECESSOR_SILENT_US;
+        final boolean isSilent = clock.nowUs() > predecessorFreshUntilUs
+                && clock.nowUs() - predecessorFreshUntilUs > PREDECESSOR_SILENT_US;
         if (isSilent && !predecessorSilent) {
             Log.event(
                     "earlier_silent",
@@ -414,8 +426,8 @@
     }
 
     private void resume(final JournaledMessage journaled, final int index) {
-        final OpenMessage message =
-                new OpenMessage(journaled, config.settings().classes().get(index), clock.fromWallUs(journaled.validUntilWallUs), null);
+        final OpenMessage message = new OpenMessage(
+                journaled, config.settings().classes().get(index), clock.fromWallUs(journaled.validUntilWallUs), null);
         final Courier.MessageHistory history = journaled.history(clock);
         recordOutcome(journaled, false);
         messages.put(journaled.id, message);
@@ -430,7 +442,8 @@
     }
 
     private static Courier.Message toMessage(final OpenMessage message, final int index) {
-        return new Courier.Message(message.journaled.id, index, -1, null, message.validUntilUs, message.journaled.destination);
+        return new Courier.Message(
+                message.journaled.id, index, -1, null, message.validUntilUs, message.journaled.destination);
     }
 
     // ---------------------------------------------------------------- events from the sockets
@@ -468,7 +481,8 @@
 
     private void accept(final JournaledMessage journaled, final long validUntilUs, final Reply reply) {
         final int index = classes.get(journaled.className);
-        final OpenMessage message = new OpenMessage(journaled, config.settings().classes().get(index), validUntilUs, reply);
+        final OpenMessage message =
+                new OpenMessage(journaled, config.settings().classes().get(index), validUntilUs, reply);
         messages.put(journaled.id, message);
         unanswered.add(message);
         control.onMessage(clock.nowUs(), toMessage(message, index));
@@ -499,7 +513,8 @@
         unlistedStates.values().removeIf(state -> {
             final boolean named = discovery.hasEndpoint(state.destination());
             if (named) {
-                control.onPredecessorState(clock.nowUs(), state.withCallsInFlight(journal.predecessorCalls(state.destination())));
+                control.onPredecessorState(
+                        clock.nowUs(), state.withCallsInFlight(journal.predecessorCalls(state.destination())));
             }
             return named;
         });
--- a/src/main/java/driftchute/node/EndpointClient.java
+++ b/src/main/java/driftchute/node/EndpointClient.java
@@ -91,10 +91,10 @@
      * Upper bounds for reported waits (an hour) and limits (a million calls per second). Higher values are not
      * believed.
      */
-    private static final double MAX_WAIT_S = 3600;
+    private static final double MAX_WAIT_SECONDS = 3600;
 
     private static final double MAX_RATE = 1e6;
-    private static final double MAX_SHARE = 2;
+    private static final double MAX_UNUSED_SHARE = 2;
     /** State of a message that an answer does not mention, or mentions with two states. */
     private static final String UNKNOWN_STATE = "";
 
@@ -127,7 +127,8 @@
                     @Override
                     protected void initChannel(final Channel channel) {
                         final EndpointConnection connection = new EndpointConnection();
-                        channel.pipeline().addLast(new ResponseDecoder(connection), new HttpRequestEncoder(), connection);
+                        channel.pipeline()
+                                .addLast(new ResponseDecoder(connection), new HttpRequestEncoder(), connection);
                     }
                 });
         final long sweepUs = Math.max(US_PER_MS, idleTimeoutUs / 8);
@@ -181,7 +182,11 @@
         private boolean started;
         private boolean written;
 
-        Call(final ConnectionPool pool, final long endpoint, final List<DeliveryService.CallItem> items, final long sentUs) {
+        Call(
+                final ConnectionPool pool,
+                final long endpoint,
+                final List<DeliveryService.CallItem> items,
+                final long sentUs) {
             this.pool = pool;
             this.endpoint = endpoint;
             this.items = List.copyOf(items);
@@ -224,7 +229,8 @@
 
     /** The list named an endpoint, or changed its address or condition. */
     void onListed(final Courier.Endpoint entry, final boolean separateRoute, final InetSocketAddress address) {
-        final ConnectionPool pool = pools.computeIfAbsent(entry.id(), unused -> new ConnectionPool(entry, separateRoute, address));
+        final ConnectionPool pool =
+                pools.computeIfAbsent(entry.id(), unused -> new ConnectionPool(entry, separateRoute, address));
         if (!pool.address.equals(address)) {
             pool.address = address;
             stopUsing(entry.id());
@@ -374,7 +380,8 @@
             if (!calls.contains(call)) {
                 connecting.channel().close();
             } else if (done.isSuccess()) {
-                final EndpointConnection connection = connecting.channel().pipeline().get(EndpointConnection.class);
+                final EndpointConnection connection =
+                        connecting.channel().pipeline().get(EndpointConnection.class);
                 connection.idleSinceUs = clock.nowUs();
                 connection.write(call);
             } else {
@@ -481,7 +488,8 @@
     // ---------------------------------------------------------------- one connection
 
     /** One connection: writes calls and reads their answers. */
-    private final class EndpointConnection extends SimpleChannelInboundHandler<HttpObject> implements ResponseDecoder.Listener {
+    private final class EndpointConnection extends SimpleChannelInboundHandler<HttpObject>
+            implements ResponseDecoder.Listener {
         private ChannelHandlerContext context;
         private Call call;
         private long idleSinceUs;
@@ -587,7 +595,8 @@
                 // These bytes answer no call, or precede their call, so they belong to an earlier one.
                 onBroken(Result.RESET);
             } else if (answerTimeout == null) {
-                answerTimeout = loop.schedule(() -> onBroken(Result.ERROR), ANSWER_COMPLETION_MS, TimeUnit.MILLISECONDS);
+                answerTimeout =
+                        loop.schedule(() -> onBroken(Result.ERROR), ANSWER_COMPLETION_MS, TimeUnit.MILLISECONDS);
             }
         }
 
@@ -681,7 +690,9 @@
             if (delivered) {
                 reportOutcome(interrupted, deliveredOutcome());
             } else {
-                reportOutcome(interrupted, new MessageOutcome(interrupted.written ? result : Result.NO_CONNECTION, false, waitUs, null));
+                reportOutcome(
+                        interrupted,
+                        new MessageOutcome(interrupted.written ? result : Result.NO_CONNECTION, false, waitUs, null));
             }
         }
 
@@ -714,9 +725,12 @@
                                         !late,
                                         whole.waitUs(),
                                         whole.reportedLimit());
-                            case "deferred" -> new MessageOutcome(Result.REFUSED, false, whole.waitUs(), whole.reportedLimit());
-                            case "expired" -> new MessageOutcome(Result.NOT_SENT, true, whole.waitUs(), whole.reportedLimit());
-                            case "no_more" -> new MessageOutcome(Result.NOT_SENT, false, whole.waitUs(), whole.reportedLimit());
+                            case "deferred" ->
+                                new MessageOutcome(Result.REFUSED, false, whole.waitUs(), whole.reportedLimit());
+                            case "expired" ->
+                                new MessageOutcome(Result.NOT_SENT, true, whole.waitUs(), whole.reportedLimit());
+                            case "no_more" ->
+                                new MessageOutcome(Result.NOT_SENT, false, whole.waitUs(), whole.reportedLimit());
                             default -> new MessageOutcome(Result.ERROR, false, whole.waitUs(), whole.reportedLimit());
                         };
                 host.onOutcome(item, done, outcome);
@@ -740,8 +754,9 @@
     // ---------------------------------------------------------------- requests and answers
 
     private FullHttpRequest request(final Call call) {
-        final byte[] body =
-                call.hasSeveralMessages() ? bulkBody(call) : call.items.get(0).message().journaled.body();
+        final byte[] body = call.hasSeveralMessages()
+                ? bulkBody(call)
+                : call.items.get(0).message().journaled.body();
         final FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.POST,
@@ -780,12 +795,14 @@
     }
 
     private static MessageOutcome outcomeOf(final HttpResponse head, final long waitUs) {
-        final Courier.ReportedLimit reportedLimit = parseReportedLimit(head.headers().get("X-Server-Load"));
+        final Courier.ReportedLimit reportedLimit =
+                parseReportedLimit(head.headers().get("X-Server-Load"));
         final boolean lineBusy = "1".equals(head.headers().get("X-Line-Busy"));
         return switch (head.status().code()) {
             case OK -> new MessageOutcome(Result.DELIVERED, true, waitUs, reportedLimit);
             case TOO_MANY_REQUESTS -> new MessageOutcome(Result.REFUSED, false, waitUs, reportedLimit);
-            case UNAVAILABLE -> new MessageOutcome(lineBusy ? Result.NOT_SENT : Result.REFUSED, false, waitUs, reportedLimit);
+            case UNAVAILABLE ->
+                new MessageOutcome(lineBusy ? Result.NOT_SENT : Result.REFUSED, false, waitUs, reportedLimit);
             case GATEWAY_TIMEOUT -> new MessageOutcome(Result.NOT_SENT, false, waitUs, reportedLimit);
             case GONE -> new MessageOutcome(Result.NOT_SENT, true, waitUs, reportedLimit);
             default -> new MessageOutcome(Result.ERROR, false, waitUs, reportedLimit);
@@ -795,7 +812,7 @@
     /** The wait that an answer asks for, in seconds with decimals, as us; 0 if there is none or it cannot be parsed. */
     private static long waitUs(final HttpResponse head) {
         final double seconds = parseNumber(head.headers().get(HttpHeaderNames.RETRY_AFTER));
-        return seconds >= 0 ? (long) Math.ceil(Math.min(seconds, MAX_WAIT_S) * US_PER_SECOND) : 0;
+        return seconds >= 0 ? (long) Math.ceil(Math.min(seconds, MAX_WAIT_SECONDS) * US_PER_SECOND) : 0;
     }
 
     /** The limit that a destination reported; null if it reported none, or none that can be parsed. */
@@ -814,8 +831,10 @@
             }
         }
         // A share slightly above one is noise; far above it is invalid.
-        final boolean valid =
-                unusedShare >= 0 && unusedShare <= MAX_SHARE && callsPerSecond >= 0 && callsPerSecond <= MAX_RATE;
+        final boolean valid = unusedShare >= 0
+                && unusedShare <= MAX_UNUSED_SHARE
+                && callsPerSecond >= 0
+                && callsPerSecond <= MAX_RATE;
         return valid ? new Courier.ReportedLimit(Math.min(1, unusedShare), callsPerSecond) : null;
     }
 
--- a/src/main/java/driftchute/node/Journal.java
+++ b/src/main/java/driftchute/node/Journal.java
@@ -228,10 +228,11 @@
     // ---------------------------------------------------------------- earlier processes
 
     /**
-     * News from the files of earlier processes. {@code mine}: messages that this process has taken over. {@code over}:
-     * messages of this process that were completed there. {@code memories}: destination states.
+     * News from the files of earlier processes. {@code takenOver}: messages that this process has taken over. {@code complete}:
+     * messages of this process that were completed there. {@code states}: destination states.
      */
-    record PredecessorUpdate(List<JournaledMessage> takenOver, List<String> completed, List<Courier.DestinationState> states) {}
+    record PredecessorUpdate(
+            List<JournaledMessage> takenOver, List<String> completed, List<Courier.DestinationState> states) {}
 
     /** True while an earlier process may still be running, or its file is not completely taken over. */
     boolean hasPredecessors() {
@@ -250,7 +251,10 @@
      * have none in flight.
      */
     long recordedUntilWallUs() {
-        return predecessors.stream().mapToLong(PredecessorJournal::recordedUntilWallUs).min().orElse(Long.MAX_VALUE);
+        return predecessors.stream()
+                .mapToLong(PredecessorJournal::recordedUntilWallUs)
+                .min()
+                .orElse(Long.MAX_VALUE);
     }
 
     /** Reads more of the files of earlier processes, and records the messages taken over from them. */
@@ -285,7 +289,9 @@
             final JournaledMessage ownCopy = open.get(message.id);
             // A message with a call in flight belongs to the earlier process until that has ended the call or is gone.
             final boolean free = !message.isInFlight() || predecessor.isGone();
-            if (free && !completed.contains(message.id) && (ownCopy == null || message != ownCopy && message.isAheadOf(ownCopy))) {
+            if (free
+                    && !completed.contains(message.id)
+                    && (ownCopy == null || message != ownCopy && message.isAheadOf(ownCopy))) {
                 adopt(message);
                 update.takenOver().add(message);
             }
@@ -366,7 +372,9 @@
     /** Records an accepted message. Returns false, and accepts nothing, if there is no space for it. */
     boolean accept(final JournaledMessage message) {
         final long bytes = bytes(message);
-        if (open.containsKey(message.id) || openBytes + bytes > MESSAGE_SHARE * maxFileBytes || !append(acceptedRecord(message))) {
+        if (open.containsKey(message.id)
+                || openBytes + bytes > MESSAGE_SHARE * maxFileBytes
+                || !append(acceptedRecord(message))) {
             return false;
         }
         open.put(message.id, message);
@@ -444,7 +452,9 @@
     private static long bytes(final JournaledMessage message) {
         final int keyChars = message.idempotencyKey == null ? 0 : message.idempotencyKey.length();
         // A header's characters take at most two bytes each, and each record of a message contains its id.
-        return message.body().length + 2L * (RECORDS_PER_MESSAGE * message.id.length() + keyChars + message.className.length()) + RESERVED_BYTES;
+        return message.body().length
+                + 2L * (RECORDS_PER_MESSAGE * message.id.length() + keyChars + message.className.length())
+                + RESERVED_BYTES;
     }
 
     // ---------------------------------------------------------------- writing
--- a/src/main/java/driftchute/node/JournalCheck.java
+++ b/src/main/java/driftchute/node/JournalCheck.java
@@ -29,6 +29,7 @@
     @Parameters(paramLabel = "FOLDER", description = "the courier's PROXY_STATE")
     private Path folder;
 
+    /** Runs the command line; its exit code is the process's. */
     public static void main(final String[] args) {
         System.exit(new CommandLine(new JournalCheck()).execute(args));
     }
--- a/src/main/java/driftchute/node/JournalReader.java
+++ b/src/main/java/driftchute/node/JournalReader.java
@@ -133,7 +133,7 @@
     }
 
     /**
-     * Time up to which the writer has recorded the outcomes of all its calls, Unix us; {@link #NEVER_HEARD} if it never
+     * Time up to which the writer has recorded the outcomes of all its calls, Unix us; {@link #NEVER_RECORDED} if it never
      * did.
      */
     long recordedUntilWallUs() {
@@ -160,7 +160,8 @@
             switch (type) {
                 case Journal.ATTEMPT_BEGUN -> message.beginAttempt(in.readLong(), in.readUTF());
                 case Journal.ATTEMPT_ENDED -> message.endAttempt(in.readBoolean());
-                case Journal.NOTICE_DUE -> message.setNotice(new JournaledMessage.Notice(in.readBoolean(), in.readLong()));
+                case Journal.NOTICE_DUE ->
+                    message.setNotice(new JournaledMessage.Notice(in.readBoolean(), in.readLong()));
                 default -> Log.info("journal: unknown record " + type);
             }
         }
@@ -173,7 +174,8 @@
         final long destination = in.readLong();
         final long validUntilWallUs = in.readLong();
         final byte[] body = in.readNBytes(in.readInt());
-        final JournaledMessage taken = new JournaledMessage(id, className, hasKey ? key : null, destination, validUntilWallUs, body);
+        final JournaledMessage taken =
+                new JournaledMessage(id, className, hasKey ? key : null, destination, validUntilWallUs, body);
         taken.restoreAttempts(in.readInt(), in.readLong(), in.readUTF());
         return taken;
     }
--- a/src/main/java/driftchute/node/JournaledMessage.java
+++ b/src/main/java/driftchute/node/JournaledMessage.java
@@ -117,6 +117,10 @@
     Courier.MessageHistory history(final Clock clock) {
         final long firstWallUs = Math.min(firstExecutionWallUs, attemptBegunWallUs);
         final boolean mayHaveExecuted = firstWallUs != NEVER;
-        return new Courier.MessageHistory(attempts, mayHaveExecuted, mayHaveExecuted ? clock.fromWallUs(firstWallUs) : 0, isInFlight() ? attemptZone : executionZone);
+        return new Courier.MessageHistory(
+                attempts,
+                mayHaveExecuted,
+                mayHaveExecuted ? clock.fromWallUs(firstWallUs) : 0,
+                isInFlight() ? attemptZone : executionZone);
     }
 }
--- a/src/main/java/driftchute/node/JsonStreamParser.java
+++ b/src/main/java/driftchute/node/JsonStreamParser.java
@@ -49,7 +49,7 @@
     /**
      * Parses more bytes.
      *
-     * @throws IllegalArgumentException if they are not a JSON object, or one longer than {@link #MOST_BYTES}; nothing
+     * @throws IllegalArgumentException if they are not a JSON object, or one longer than {@link #MAX_BYTES}; nothing
      * can be
      *         parsed after that
      */
--- a/src/main/java/driftchute/node/LingeringClose.java
+++ b/src/main/java/driftchute/node/LingeringClose.java
@@ -20,7 +20,7 @@
      * Maximum input that is discarded, bytes. If a client sends more, reading stops and its connection is reset at the
      * end.
      */
-    private static final int MAX_DRAINED_BYTES = 1 << 18;
+    private static final int MAX_DISCARDED_BYTES = 1 << 18;
 
     private final ChannelFuture lastWritten;
     private int discardedBytes;
@@ -50,7 +50,7 @@
             discardedBytes += bytes.readableBytes();
         }
         ReferenceCountUtil.release(part);
-        if (discardedBytes > MAX_DRAINED_BYTES) {
+        if (discardedBytes > MAX_DISCARDED_BYTES) {
             context.channel().config().setAutoRead(false);
         }
     }
--- a/src/main/java/driftchute/node/ListWatcher.java
+++ b/src/main/java/driftchute/node/ListWatcher.java
@@ -56,9 +56,9 @@
      * Bounds of the delay before the next request after a failed connection: well within the grace period of a drain,
      * without a busy loop.
      */
-    private static final long MIN_REST_US = 50_000;
+    private static final long MIN_RETRY_DELAY_US = 50_000;
 
-    private static final long MAX_REST_US = 100_000;
+    private static final long MAX_RETRY_DELAY_US = 100_000;
     /** No version of the list is known that the current server would understand. */
     private static final long UNKNOWN_VERSION = -1;
 
@@ -197,7 +197,9 @@
             return Math.max(retryAfterUs, newest.requestedUs + SHORT_INTERVAL_US);
         }
         // While the previous watch is active, the first request may take longer.
-        final long extendedUs = !isActive(previous) ? 0 : Math.min(newest.requestedUs + ANSWER_TIMEOUT_US, previous.heardUs + SILENCE_TIMEOUT_US);
+        final long extendedUs = !isActive(previous)
+                ? 0
+                : Math.min(newest.requestedUs + ANSWER_TIMEOUT_US, previous.heardUs + SILENCE_TIMEOUT_US);
         return Math.max(retryAfterUs, Math.max(newest.requestedUs + REQUEST_INTERVAL_US, extendedUs));
     }
 
@@ -425,7 +427,7 @@
                 newest = previous;
                 final boolean retrySoon = lastByteUs == 0 && !isActive(previous);
                 retryAfterUs = Math.max(
-                        clock.getAsLong() + random.nextLong(MIN_REST_US, MAX_REST_US),
+                        clock.getAsLong() + random.nextLong(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US),
                         retrySoon ? 0 : requestedUs + (isActive(replaced) ? SHORT_INTERVAL_US : REQUEST_INTERVAL_US));
             }
             previous = null;
--- a/src/main/java/driftchute/node/Management.java
+++ b/src/main/java/driftchute/node/Management.java
@@ -55,7 +55,11 @@
      * {@code serves}: whether this process can serve. {@code listed}: whether the list has named that endpoint. Both
      * are called on this class's own thread.
      */
-    Management(final Config config, final OperatorOrders orders, final BooleanSupplier serves, final Predicate<String> listed) {
+    Management(
+            final Config config,
+            final OperatorOrders orders,
+            final BooleanSupplier serves,
+            final Predicate<String> listed) {
         this.orders = orders;
         this.isServing = serves;
         this.wasListed = listed;
--- a/src/main/java/driftchute/node/NoticeSender.java
+++ b/src/main/java/driftchute/node/NoticeSender.java
@@ -40,17 +40,17 @@
      * Bounds of the time-out for an answer. The platform normally answers at once, so a longer silence means that the
      * connection is dead. Doubled with each failure for a platform or machine that is slow.
      */
-    private static final long MIN_ANSWER_MS = 100;
+    private static final long MIN_ANSWER_TIMEOUT_MS = 100;
 
-    private static final long MAX_ANSWER_MS = 1000;
+    private static final long MAX_ANSWER_TIMEOUT_MS = 1000;
     /**
      * First and longest back-off. A notice is overdue 0.3 s after its message's deadline (PROTOCOL-irishead.md, The
      * rules on sockets), so it must arrive within that time once the platform is reachable again.
      */
-    private static final long MIN_AGAIN_MS = 50;
+    private static final long MIN_BACK_OFF_MS = 50;
 
-    private static final long MAX_AGAIN_MS = 100;
-    private static final int MAX_IN_BATCH = 64;
+    private static final long MAX_BACK_OFF_MS = 100;
+    private static final int MAX_BATCH_SIZE = 64;
     private static final int MAX_BODY_BYTES = 1 << 16;
     private static final int CONFIRMED = 204;
     private static final int BAD_REQUEST = 400;
@@ -67,24 +67,27 @@
     private PlatformConnection connection;
     private Future<?> answerTimer;
     private Future<?> retryTimer;
-    private long backOffMs = MIN_AGAIN_MS;
-    private long answerTimeoutMs = MIN_ANSWER_MS;
-    private int maxBatchSize = MAX_IN_BATCH;
+    private long backOffMs = MIN_BACK_OFF_MS;
+    private long answerTimeoutMs = MIN_ANSWER_TIMEOUT_MS;
+    private int maxBatchSize = MAX_BATCH_SIZE;
 
     NoticeSender(final InetSocketAddress address, final EventLoop loop, final DeliveryService host) {
         this(address, loop, host::onNoticesConfirmed);
     }
 
     /** {@code confirmation} receives the notices that the platform has confirmed. */
-    NoticeSender(final InetSocketAddress address, final EventLoop loop, final Consumer<List<JournaledMessage>> confirmation) {
+    NoticeSender(
+            final InetSocketAddress address,
+            final EventLoop loop,
+            final Consumer<List<JournaledMessage>> confirmation) {
         this.address = address;
         this.loop = loop;
         this.confirmation = confirmation;
     }
 
     /** Adds a notice. It is sent with the next flush. */
-    void add(final JournaledMessage held) {
-        unconfirmed.add(held);
+    void add(final JournaledMessage message) {
+        unconfirmed.add(message);
     }
 
     /** True if the platform has confirmed all notices. */
@@ -113,8 +116,8 @@
             return;
         }
         address = next;
-        backOffMs = MIN_AGAIN_MS;
-        answerTimeoutMs = MIN_ANSWER_MS;
+        backOffMs = MIN_BACK_OFF_MS;
+        answerTimeoutMs = MIN_ANSWER_TIMEOUT_MS;
         if (retryTimer != null) {
             retryTimer.cancel(false);
             retryTimer = null;
@@ -126,24 +129,25 @@
     /** Fills the batch and returns its text, one line per notice. */
     private String fillBatch() {
         final StringBuilder text = new StringBuilder();
-        for (final JournaledMessage held : unconfirmed) {
-            final String next = toJson(held);
+        for (final JournaledMessage message : unconfirmed) {
+            final String next = toJson(message);
             // An id arrived in a header, so its characters take at most two bytes each.
-            if (batch.size() == maxBatchSize || !batch.isEmpty() && 2 * (text.length() + next.length()) >= MAX_BODY_BYTES) {
+            if (batch.size() == maxBatchSize
+                    || !batch.isEmpty() && 2 * (text.length() + next.length()) >= MAX_BODY_BYTES) {
                 break;
             }
-            batch.add(held);
+            batch.add(message);
             text.append(next).append('\n');
         }
         return text.toString();
     }
 
-    private String toJson(final JournaledMessage held) {
+    private String toJson(final JournaledMessage message) {
         final ObjectNode notice = json.createObjectNode()
-                .put("id", held.id)
-                .put("status", held.notice().failed() ? "undeliverable" : "deferred");
-        if (held.notice().retryAfterMs() > 0) {
-            notice.put("again_ms", held.notice().retryAfterMs());
+                .put("id", message.id)
+                .put("status", message.notice().failed() ? "undeliverable" : "deferred");
+        if (message.notice().retryAfterMs() > 0) {
+            notice.put("again_ms", message.notice().retryAfterMs());
         }
         return notice.toString();
     }
@@ -154,9 +158,9 @@
             clearBatch();
             confirmed.forEach(unconfirmed::remove);
             confirmation.accept(confirmed);
-            backOffMs = MIN_AGAIN_MS;
-            answerTimeoutMs = MIN_ANSWER_MS;
-            maxBatchSize = Math.min(MAX_IN_BATCH, 2 * maxBatchSize);
+            backOffMs = MIN_BACK_OFF_MS;
+            answerTimeoutMs = MIN_ANSWER_TIMEOUT_MS;
+            maxBatchSize = Math.min(MAX_BATCH_SIZE, 2 * maxBatchSize);
             flush();
             return;
         }
@@ -174,7 +178,7 @@
     }
 
     private void onAnswerTimeout() {
-        answerTimeoutMs = Math.min(2 * answerTimeoutMs, MAX_ANSWER_MS);
+        answerTimeoutMs = Math.min(2 * answerTimeoutMs, MAX_ANSWER_TIMEOUT_MS);
         onFailure();
     }
 
@@ -192,7 +196,7 @@
                 },
                 backOffMs,
                 TimeUnit.MILLISECONDS);
-        backOffMs = Math.min(2 * backOffMs, MAX_AGAIN_MS);
+        backOffMs = Math.min(2 * backOffMs, MAX_BACK_OFF_MS);
     }
 
     private void closeConnection() {
--- a/src/main/java/driftchute/node/PredecessorJournal.java
+++ b/src/main/java/driftchute/node/PredecessorJournal.java
@@ -72,7 +72,9 @@
      */
     long recordedUntilWallUs() {
         final boolean out = !gone && callsInFlight.values().stream().anyMatch(calls -> calls > 0);
-        return out && reader.recordedUntilWallUs() != JournalReader.NEVER_RECORDED ? reader.recordedUntilWallUs() : Long.MAX_VALUE;
+        return out && reader.recordedUntilWallUs() != JournalReader.NEVER_RECORDED
+                ? reader.recordedUntilWallUs()
+                : Long.MAX_VALUE;
     }
 
     JournalReader reader() {
--- a/src/main/java/driftchute/node/fleet/FleetControlThread.java
+++ b/src/main/java/driftchute/node/fleet/FleetControlThread.java
@@ -1,8 +1,8 @@
 package driftchute.node.fleet;
 
 import driftchute.Courier;
-import driftchute.fleet.EventLog;
 import driftchute.fleet.ClockReading;
+import driftchute.fleet.EventLog;
 import driftchute.fleet.Tier;
 import driftchute.fleet.shared.SharedState;
 import io.netty.bootstrap.Bootstrap;
@@ -307,7 +307,9 @@
         final String drops =
                 "unknown senders " + unknownSenders + ", reports " + droppedReports.get() + ", frames " + state.drops();
         if (!drops.equals(loggedDrops)
-                && (unknownSenders > 0 || droppedReports.get() > 0 || !state.drops().isEmpty())) {
+                && (unknownSenders > 0
+                        || droppedReports.get() > 0
+                        || !state.drops().isEmpty())) {
             loggedDrops = drops;
             events.event("fleet_dropped", "msg", drops);
         }
--- a/src/test/java/driftchute/fleet/lane/LaneConfigVersionsTest.java
+++ b/src/test/java/driftchute/fleet/lane/LaneConfigVersionsTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import driftchute.fleet.Message;
 import driftchute.fleet.ClockReading;
 import driftchute.fleet.ControlPlane;
+import driftchute.fleet.Message;
 import driftchute.fleet.Tier;
 import java.util.ArrayList;
 import java.util.Arrays;
